--- a/crates/sillbank_gateway/src/backoff.rs
+++ b/crates/sillbank_gateway/src/backoff.rs
@@ -41,12 +41,12 @@
     /// What is left of it. What is sufficient while the leader is there is too long when it is lost, so that
     /// is to be looked at again and again.
     pub fn left(&self, now: Instant, hall: &Hall, freshness: Freshness) -> Duration {
-        let longest = hall.longest_pause(now, freshness);
+        let longest = hall.max_retry_pause(now, freshness);
         // One call in vain shows that the store is away for both; the leader goes on looking.
         let whole = if hall.leader_is_live(now) { longest } else { self.by_failures.min(longest) };
         // A VM that tells its hall has no crowd beside it, and its first pauses were drawn. With part of the
         // longest one each time, it looked 3.4 times a second where its hall is served as well by two.
-        let is_drawn = hall.tells.get().is_none() || whole < longest;
+        let is_drawn = hall.acting_fence.get().is_none() || whole < longest;
         let share = if is_drawn { self.share } else { 1.0 };
         (self.began + whole.mul_f64(share)).saturating_duration_since(now)
     }
--- a/crates/sillbank_gateway/src/call_book.rs
+++ b/crates/sillbank_gateway/src/call_tracker.rs
@@ -8,11 +8,11 @@
 
 /// Times of answers and refusals of plain services' endpoints.
 #[derive(Debug, Default)]
-pub struct CallBook {
+pub struct CallTracker {
     by_service: RefCell<HashMap<ServiceId, CallTimes>>,
 }
 
-impl CallBook {
+impl CallTracker {
     /// Looks at, or changes, what was seen of a service's endpoints.
     pub fn with<T>(&self, service: &str, change: impl FnOnce(&mut CallTimes) -> T) -> T {
         let mut by_service = self.by_service.borrow_mut();
@@ -25,7 +25,7 @@
     /// Watches a call that is sent to an endpoint; if nothing else is noted of it, its answer did not come while
     /// somebody waited for it.
     pub fn watch<'a>(&'a self, service: &'a str, endpoint: &'a str, now: Instant) -> CallWatch<'a> {
-        CallWatch { book: self, service, endpoint, sent_at: now, is_noted: false }
+        CallWatch { tracker: self, service, endpoint, sent_at: now, is_noted: false }
     }
 
     /// Forgets endpoints that are not listed any more.
@@ -38,7 +38,7 @@
 /// A call that was sent, until it is known what came of it.
 #[derive(Debug)]
 pub struct CallWatch<'a> {
-    book: &'a CallBook,
+    tracker: &'a CallTracker,
     service: &'a str,
     endpoint: &'a str,
     sent_at: Instant,
@@ -64,7 +64,7 @@
     fn note(&mut self, change: impl FnOnce(&mut CallTimes, &str, Duration, Instant)) {
         let now = Instant::now();
         let took = now.saturating_duration_since(self.sent_at);
-        self.book.with(self.service, |times| change(times, self.endpoint, took, now));
+        self.tracker.with(self.service, |times| change(times, self.endpoint, took, now));
         self.is_noted = true;
     }
 }
--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::answers::{COME_BACK_AT_LIMIT, COME_BACK_UNINFORMED, reply_of};
 use crate::delivery::Delivery;
-use crate::gateway::{FIRST_KNOWLEDGE_WAIT, Gateway, Life};
+use crate::gateway::{Gateway, LifecycleState, STARTUP_WAIT};
 use crate::job::{Job, strip_connection_headers};
 use crate::store::MetadataStore;
 use crate::vm_limits::Standing;
@@ -94,7 +94,7 @@
 
 impl<W: Wire, S: MetadataStore> CallerHandler<W, S> {
     fn refuse(&self, request_id: &str, failure: &Failure) -> Response<ReplyBody> {
-        let stamp = self.gateway.knowledge.stamp(Instant::now());
+        let stamp = self.gateway.platform.stamp(Instant::now());
         self.gateway.decisions.refused(request_id, failure, stamp);
         let label =
             crate::metrics::OutcomeLabel { outcome: "refused", status: failure.kind.http_status() };
@@ -106,13 +106,13 @@
     /// request is likely to be served. When all VMs begin at once, callers who are refused meet again.
     async fn await_first_knowledge(&self) {
         let gateway = &self.gateway;
-        let knowledge = &gateway.knowledge;
+        let platform = &gateway.platform;
         let knows_enough = || {
-            knowledge.catalog().is_some()
-                && knowledge.knows_endpoints()
-                && gateway.quarantine_is_known.get()
+            platform.catalog().is_some()
+                && platform.knows_endpoints()
+                && gateway.quarantine_is_loaded.get()
         };
-        let left = FIRST_KNOWLEDGE_WAIT.saturating_sub(gateway.age(Instant::now()));
+        let left = STARTUP_WAIT.saturating_sub(gateway.age(Instant::now()));
         if knows_enough() || left.is_zero() {
             return;
         }
@@ -121,7 +121,7 @@
         };
         let known = async {
             while !knows_enough() {
-                knowledge.changed().await;
+                platform.changed().await;
             }
         };
         futures_lite::future::or(known, late).await;
@@ -130,13 +130,13 @@
     /// Looks up route, key and service. A VM whose knowledge is not fresh denies nothing: it says
     /// that it does not know.
     fn admit(&self, head: &CallerHead, parts: &Parts, now: Instant) -> Result<Admitted, Failure> {
-        if self.gateway.life.get() == Life::Stopping {
+        if self.gateway.lifecycle.get() == LifecycleState::Stopping {
             let failure = Failure::before_work(FailureKind::Stopping, "the VM is stopping");
             return Err(failure.retry_after(COME_BACK_UNINFORMED));
         }
-        let knowledge = &self.gateway.knowledge;
-        let catalog = knowledge.catalog().ok_or_else(|| uninformed("no configuration is known"))?;
-        let is_fresh = knowledge.is_fresh(now);
+        let platform = &self.gateway.platform;
+        let catalog = platform.catalog().ok_or_else(|| uninformed("no configuration is known"))?;
+        let is_fresh = platform.is_fresh(now);
         let deny = |kind, reason: &str| match is_fresh {
             true => Failure::before_work(kind, reason),
             false => uninformed("the configuration could not be confirmed for too long"),
@@ -176,7 +176,7 @@
                 let refusal =
                     Refusal { rank: route.priority, time_left: route.timeout, caller: None };
                 let now = Instant::now();
-                failure.retry_after(self.gateway.come_back_after(service, refusal, now))
+                failure.retry_after(self.gateway.retry_after_for(service, refusal, now))
             }
             false => failure.retry_after(COME_BACK_AT_LIMIT),
         }
@@ -261,7 +261,7 @@
             known_fingerprint: OnceCell::new(),
             is_counted: Cell::new(false),
         });
-        if let Some(failure) = self.gateway.refuse_held_back(&job) {
+        if let Some(failure) = self.gateway.refuse_quarantined(&job) {
             return self.refuse(&job.head.request_id, &failure);
         }
         self.gateway.count_first_send(&job.service.name);
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::answers::{give_up, not_before, out_of_time, outcome_of, reply_of};
 use crate::channels::Channel;
 use crate::decisions::{Outcome, SendEnd};
-use crate::endpoints::{Evidence, Share};
+use crate::endpoints::{Evidence, RequestPart};
 use crate::ends::{BrokenSend, on_broken_send};
 use crate::gateway::Gateway;
 use crate::job::Job;
@@ -88,7 +88,7 @@
     let mut held: Option<WholeReply> = None;
     loop {
         let choice = choose(gateway, job, &tried);
-        let withheld_for = gateway.note_withheld(job);
+        let withheld_for = gateway.record_withheld(job);
         let choice = match choice {
             Ok(choice) => choice,
             Err(refused) => {
@@ -102,11 +102,11 @@
         let sent_at = Instant::now();
         let (left, reason) = match try_once(gateway, job, &choice).await {
             Try::Done(reply) => {
-                gateway.on_ran_well(job);
+                gateway.on_request_survived(job);
                 return Ok(reply);
             }
             Try::Failed(whole) => {
-                gateway.on_ran_well(job);
+                gateway.on_request_survived(job);
                 let reason = format!("status {}", whole.reply.status().as_u16());
                 held = Some(whole);
                 (Left::MayHaveRun, reason)
@@ -182,9 +182,10 @@
     choice: &Choice,
 ) -> Try {
     let now = Instant::now();
-    gateway.decisions.sent(job, &choice.endpoint, None, None, gateway.knowledge.stamp(now));
-    let _in_flight =
-        gateway.book.begin(vec![Share { endpoint: choice.endpoint.clone(), kv: 0.0 }], now);
+    gateway.decisions.sent(job, &choice.endpoint, None, None, gateway.platform.stamp(now));
+    let _in_flight = gateway
+        .endpoint_tracker
+        .start(vec![RequestPart { endpoint: choice.endpoint.clone(), kv: 0.0 }], now);
     let exchange = exchange(gateway, job, choice);
     let may_turn = job.may_repeat() && choice.has_other && job.may_send_again(now);
     if !may_turn {
@@ -205,7 +206,7 @@
     choice: &Choice,
 ) -> Try {
     let to = Destination { endpoint: &choice.endpoint, address: choice.address, path: None };
-    let watch = gateway.call_book.watch(&job.service.name, &choice.endpoint, Instant::now());
+    let watch = gateway.call_tracker.watch(&job.service.name, &choice.endpoint, Instant::now());
     let sent_at = Instant::now();
     let sent = send(gateway, job, to, None).await;
     if let Some(evidence) = evidence_of(&sent) {
@@ -267,32 +268,33 @@
     let now = Instant::now();
     let settings = gateway.settings();
     let draw = || gateway.chance.fraction();
-    let views = gateway.views(now);
-    gateway.knowledge.endpoints(|directory| {
+    let context = gateway.routing_context(now);
+    gateway.platform.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
         let mut records: Vec<_> = usable.filter(|record| !tried.contains(&record.id)).collect();
-        let takes_work = |record: &&EndpointRecord| gateway.book.takes_work(&record.id, now);
+        let accepts_work =
+            |record: &&EndpointRecord| gateway.endpoint_tracker.accepts_work(&record.id, now);
         // While all are left alone, the least bad is better than none.
-        if records.iter().any(takes_work) {
-            records.retain(takes_work);
+        if records.iter().any(accepts_work) {
+            records.retain(accepts_work);
         }
         if let [only] = records.as_slice()
             && !tried.contains(&only.id)
-            && let Some(come_back) = gateway.kept_apart_for(job)
-            && directory.usable_of(&job.service.name).filter(|r| takes_work(r)).count() == 1
+            && let Some(come_back) = gateway.isolated_for(job)
+            && directory.usable_of(&job.service.name).filter(|r| accepts_work(r)).count() == 1
         {
             return Err(CallRefused { reason: CallRefusal::KeptApart, come_back });
         }
         let had_records = !records.is_empty();
-        records.retain(|record| views.may_send(&record.id));
+        records.retain(|record| context.may_send(&record.id));
         if had_records && records.is_empty() {
-            let (reason, come_back) = (CallRefusal::Withheld, gateway.come_back(job));
+            let (reason, come_back) = (CallRefusal::Withheld, gateway.retry_after(job));
             return Err(CallRefused { reason, come_back });
         }
         let candidates = records.iter().map(|record| CallCandidate {
             endpoint: &record.id,
             is_home: record.hall == settings.hall,
-            in_flight: gateway.book.in_flight(&record.id),
+            in_flight: gateway.endpoint_tracker.in_flight(&record.id),
             places: record.slots,
         });
         let candidates: Vec<CallCandidate<'_>> = candidates.collect();
@@ -303,7 +305,7 @@
         };
         let choice = match settings.mechanisms.calls_in_time {
             true => gateway
-                .call_book
+                .call_tracker
                 .with(&job.service.name, |times| times.choose(&candidates, ask, now, draw)),
             // By what is in flight alone.
             false => CallTimes::default().choose(&candidates, ask, now, draw),
--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -5,7 +5,7 @@
 
 use crate::ends::BrokenSend;
 use crate::job::Job;
-use crate::knowledge::KnowledgeStamp;
+use crate::platform_view::ViewStamp;
 use crate::revision::Revision;
 use crate::wire::OrderEnd;
 use sillbank_catalog::prelude::*;
@@ -83,7 +83,7 @@
 
 impl Decisions {
     /// A request was refused before it was admitted.
-    pub fn refused(&self, request_id: &str, failure: &Failure, stamp: KnowledgeStamp) {
+    pub fn refused(&self, request_id: &str, failure: &Failure, stamp: ViewStamp) {
         if self.fits() {
             tracing::info!(
                 request = request_id,
@@ -105,7 +105,7 @@
         endpoint: &str,
         path: Option<&LayerPath>,
         resume_after: Option<u64>,
-        stamp: KnowledgeStamp,
+        stamp: ViewStamp,
     ) {
         if self.fits() {
             tracing::info!(
@@ -177,7 +177,7 @@
         lost: &[EndpointId],
         path: &LayerPath,
         end: OrderEnd,
-        stamp: KnowledgeStamp,
+        stamp: ViewStamp,
     ) {
         if self.fits() {
             tracing::info!(
@@ -255,7 +255,7 @@
     }
 
     /// An endpoint's entry is gone.
-    pub fn endpoint_removed(&self, id: &str, removal: Removal, stamp: KnowledgeStamp) {
+    pub fn endpoint_removed(&self, id: &str, removal: Removal, stamp: ViewStamp) {
         tracing::info!(
             endpoint = id,
             meaning = ?removal,
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -3,10 +3,10 @@
 //! Each VM counts its own requests and tells its leader with each ask; the leader adds them up and tells the
 //! sum on with its board. While that is not believed, a VM takes its own rates times the VMs of its hall.
 
-use crate::boards::HallDemand;
 use crate::decisions::Outcome;
-use crate::feed::{FeedAsk, HallRates, Incarnation};
+use crate::feed::{FeedRequest, HallRates, Incarnation};
 use crate::gateway::Gateway;
+use crate::hall_reports::HallDemand;
 use crate::job::Job;
 use crate::metrics::{DemandLabel, RateLabel};
 use crate::wire::Wire;
@@ -20,20 +20,20 @@
 
 /// What a VM counts, and what it adds up while it leads its hall.
 #[derive(Debug)]
-pub struct DemandBook {
+pub struct DemandTracker {
     counter: RefCell<DemandCounter>,
     sum: RefCell<DemandSum>,
     route_times: RefCell<RouteTimes>,
     returns: RefCell<HashMap<ServiceId, ReturnTimes>>,
     /// Where this VM stands among those that tell their first callers to come back, from 0 to 1.
     phase: f64,
-    is_told: Cell<bool>,
+    is_reported: Cell<bool>,
 }
 
 /// Parts that a VM's phase is told apart in.
 const PHASES: u64 = 1_000;
 
-impl DemandBook {
+impl DemandTracker {
     /// Nothing counted and nothing heard.
     pub fn new(incarnation: Incarnation, now: Instant) -> Self {
         Self {
@@ -42,7 +42,7 @@
             route_times: RefCell::default(),
             returns: RefCell::default(),
             phase: (incarnation % PHASES) as f64 / PHASES as f64,
-            is_told: Cell::new(false),
+            is_reported: Cell::new(false),
         }
     }
 
@@ -73,7 +73,7 @@
     /// VMs of the halls that they are of.
     pub vms: u32,
     /// Whether leaders told them; if not, those of this hall are this VM's own times its VMs.
-    pub is_told: bool,
+    pub is_reported: bool,
 }
 
 impl FleetDemand {
@@ -84,14 +84,14 @@
         home: &str,
         own: impl FnOnce() -> (Vec<DemandRate>, u32),
     ) -> Self {
-        let is_told = halls.iter().any(|told| told.hall == home);
-        let mut fleet = Self { rates: Vec::new(), age: Duration::ZERO, vms: 0, is_told };
+        let is_reported = halls.iter().any(|told| told.hall == home);
+        let mut fleet = Self { rates: Vec::new(), age: Duration::ZERO, vms: 0, is_reported };
         for told in &halls {
             add_rates(&mut fleet.rates, &told.rates);
             fleet.age = fleet.age.max(told.age);
             fleet.vms += told.vms;
         }
-        if !is_told {
+        if !is_reported {
             let (rates, vms) = own();
             let all: Vec<DemandRate> =
                 rates.into_iter().map(|rate| rate.times(f64::from(vms))).collect();
@@ -112,7 +112,7 @@
     }
 
     /// An endpoint took a stream's request. One that it takes up again counts no more for the fleet.
-    pub fn on_let_in(&self, job: &Job) {
+    pub fn on_admitted(&self, job: &Job) {
         let now = Instant::now();
         self.load.on_sent(&job.service.name, true, now);
         let note = |returns: &mut ReturnTimes| returns.on_let_in(now, job.priority());
@@ -132,17 +132,17 @@
     }
 
     /// When the caller of a request that is refused for want of room should come back.
-    pub fn come_back(&self, job: &Job) -> Duration {
+    pub fn retry_after(&self, job: &Job) -> Duration {
         let now = Instant::now();
         let refusal =
             Refusal { rank: job.priority(), time_left: job.time_left(now), caller: job.caller };
-        self.come_back_after(&job.service.name, refusal, now)
+        self.retry_after_for(&job.service.name, refusal, now)
     }
 
     /// When the caller of a refused request of a service should come back.
-    pub fn come_back_after(&self, service: &str, refusal: Refusal, now: Instant) -> Duration {
+    pub fn retry_after_for(&self, service: &str, refusal: Refusal, now: Instant) -> Duration {
         let fleet = self.fleet_demand(service, now);
-        let is_used = fleet.is_told && self.settings.borrow().mechanisms.fleet_demand;
+        let is_used = fleet.is_reported && self.settings.borrow().mechanisms.fleet_demand;
         let flow = is_used.then_some(FleetFlow { rates: &fleet.rates, vms: fleet.vms });
         let tell = |returns: &mut ReturnTimes| returns.on_refused(now, refusal, flow);
         self.demand.with_returns(service, now, tell)
@@ -150,11 +150,11 @@
 
     /// What the fleet is asked for of a service.
     pub fn fleet_demand(&self, service: &str, now: Instant) -> FleetDemand {
-        let halls = self.hall.boards.demand(service, now);
+        let halls = self.hall.reports.demand(service, now);
         let own = || {
             let rates = self.demand.counter.borrow().report(now).rates();
             let of_service = rates.into_iter().filter(|rate| rate.service == service);
-            (of_service.collect(), self.hall.most_hall_vms().max(1))
+            (of_service.collect(), self.hall.max_hall_vms().max(1))
         };
         let fleet = FleetDemand::new(halls, &self.settings.borrow().hall, own);
         self.note_told(&fleet);
@@ -163,18 +163,18 @@
 
     /// What this VM tells the leader of its hall with an ask for news; nothing if it leads itself.
     pub fn demand_report(&self, asks_news: bool) -> Option<DemandReport> {
-        let tells = asks_news && self.hall.tells.get().is_none();
+        let tells = asks_news && self.hall.acting_fence.get().is_none();
         let is_on = self.settings.borrow().mechanisms.fleet_demand;
         (tells && is_on).then(|| self.demand.counter.borrow().report(Instant::now()))
     }
 
     /// A VM asked for news and told what it is asked for; counts if this VM leads its hall.
-    pub fn on_told_demand(&self, ask: &FeedAsk, now: Instant) {
+    pub fn on_reported_demand(&self, ask: &FeedRequest, now: Instant) {
         let Some(report) = &ask.demand else {
             return;
         };
         let is_of_hall = ask.hall == self.settings.borrow().hall;
-        if is_of_hall && self.hall.tells.get().is_some() {
+        if is_of_hall && self.hall.acting_fence.get().is_some() {
             self.demand.sum.borrow_mut().hear(now, &ask.vm, report);
         }
     }
@@ -193,7 +193,7 @@
 
     /// Brings the gauges of what the fleet is asked for up to date.
     pub fn show_demand(&self, now: Instant) {
-        let Some(catalog) = self.knowledge.catalog() else {
+        let Some(catalog) = self.platform.catalog() else {
             return;
         };
         self.metrics.fleet_demand_per_s.clear();
@@ -202,7 +202,7 @@
             let fleet = self.fleet_demand(&service.name, now);
             fleet.rates.iter().for_each(|rate| self.show_rate(rate));
             let label =
-                RateLabel { service: service.name.clone(), is_told: u8::from(fleet.is_told) };
+                RateLabel { service: service.name.clone(), is_told: u8::from(fleet.is_reported) };
             self.metrics.fleet_demand_age_s.get_or_create(&label).set(fleet.age.as_secs_f64());
         }
     }
@@ -246,11 +246,11 @@
 
     /// Logs when figures of the fleet begin or cease to be believed.
     fn note_told(&self, fleet: &FleetDemand) {
-        if self.demand.is_told.replace(fleet.is_told) == fleet.is_told {
+        if self.demand.is_reported.replace(fleet.is_reported) == fleet.is_reported {
             return;
         }
         let (age_ms, vms) = (fleet.age.as_millis() as u64, fleet.vms);
-        match fleet.is_told {
+        match fleet.is_reported {
             true => tracing::info!(age_ms, vms, "demand: The fleet's figures are believed."),
             false => tracing::info!(
                 vms,
--- a/crates/sillbank_gateway/src/doctor.rs
+++ b/crates/sillbank_gateway/src/doctor.rs
@@ -110,7 +110,9 @@
     let mut probes: Vec<(EndpointId, Probe)> = Vec::new();
     let mut asked = Vec::new();
     for part in path.parts() {
-        if heard.contains(&part.endpoint) || gateway.book.answered_since(&part.endpoint, since) {
+        if heard.contains(&part.endpoint)
+            || gateway.endpoint_tracker.answered_since(&part.endpoint, since)
+        {
             probes.push((part.endpoint.clone(), Probe::Answered));
         } else {
             let call = probe_once(gateway.clone(), part.endpoint.clone(), part.address);
@@ -120,7 +122,7 @@
     for (endpoint, call) in asked {
         let probe = call.await;
         if probe == Probe::Answered {
-            gateway.book.on_answer(&endpoint, Instant::now());
+            gateway.endpoint_tracker.on_answer(&endpoint, Instant::now());
         }
         probes.push((endpoint, probe));
     }
@@ -136,10 +138,10 @@
     match gateway.engine_calls.call(address, W::report_call(), PROBE_LIMIT).await {
         Ok(reply) => {
             if let Ok(report) = W::read_report(&reply.body) {
-                gateway.hear_life(&endpoint, report.born_ms);
+                gateway.on_reported_incarnation(&endpoint, report.born_ms);
             }
             // One that has started again knows nothing of what stands still.
-            match gateway.book.renewed_since(&endpoint, began) {
+            match gateway.endpoint_tracker.restarted_since(&endpoint, began) {
                 true => Probe::Refused,
                 false => Probe::Answered,
             }
@@ -156,8 +158,8 @@
 pub async fn probe_lost<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
         smol::Timer::after(PROBE_INTERVAL).await;
-        for id in gateway.book.due_for_probe(Instant::now()) {
-            let engine = gateway.knowledge.endpoints(|directory| {
+        for id in gateway.endpoint_tracker.due_for_probe(Instant::now()) {
+            let engine = gateway.platform.endpoints(|directory| {
                 directory.get(&id).filter(|record| record.accelerator.is_some()).cloned()
             });
             if let Some(engine) = engine {
--- a/crates/sillbank_gateway/src/endpoints.rs
+++ b/crates/sillbank_gateway/src/endpoints.rs
@@ -54,7 +54,7 @@
 struct Seen {
     life: LifeNumber,
     /// When this VM heard that the endpoint had started again; `None` if it never did.
-    renewed_at: Option<Instant>,
+    restarted_at: Option<Instant>,
     in_flight: u32,
     health: Health,
     failure_share: f64,
@@ -69,7 +69,7 @@
     fn new(life: LifeNumber, now: Instant) -> Self {
         Self {
             life,
-            renewed_at: None,
+            restarted_at: None,
             in_flight: 0,
             health: Health::new(now),
             failure_share: 0.0,
@@ -84,7 +84,7 @@
 
 /// A part of a request at one endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Share {
+pub struct RequestPart {
     /// Endpoint.
     pub endpoint: EndpointId,
     /// KV cache that it will take there, in tokens times layers; 0 at an endpoint that is no engine.
@@ -93,7 +93,7 @@
 
 /// What this VM has seen of each endpoint.
 #[derive(Debug, Default)]
-pub struct EndpointBook {
+pub struct EndpointTracker {
     seen: RefCell<HashMap<EndpointId, Seen>>,
     /// The number that was given last.
     last_life: Cell<LifeNumber>,
@@ -101,16 +101,16 @@
 
 /// Work in flight at some endpoints; ends when dropped.
 #[derive(Debug)]
-pub struct InFlight {
-    book: Rc<EndpointBook>,
+pub struct InFlightGuard {
+    tracker: Rc<EndpointTracker>,
     /// Shares, and the lives of their endpoints that they were sent to.
-    shares: Vec<(Share, LifeNumber)>,
+    shares: Vec<(RequestPart, LifeNumber)>,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let now = Instant::now();
-        let mut seen = self.book.seen.borrow_mut();
+        let mut seen = self.tracker.seen.borrow_mut();
         for (share, life) in &self.shares {
             if let Some(seen) = seen.get_mut(&share.endpoint).filter(|seen| seen.life == *life) {
                 seen.in_flight = seen.in_flight.saturating_sub(1);
@@ -120,10 +120,10 @@
     }
 }
 
-impl EndpointBook {
+impl EndpointTracker {
     /// Notes work that is sent to endpoints, until the answer is dropped.
-    pub fn begin(self: &Rc<Self>, shares: Vec<Share>, now: Instant) -> InFlight {
-        let begin = |share: Share| {
+    pub fn start(self: &Rc<Self>, shares: Vec<RequestPart>, now: Instant) -> InFlightGuard {
+        let start = |share: RequestPart| {
             let life = self.with(&share.endpoint, now, |seen| {
                 seen.in_flight += 1;
                 seen.on_trial |= seen.health.state() == HealthState::Ejected;
@@ -132,12 +132,12 @@
             });
             (share, life)
         };
-        InFlight { book: self.clone(), shares: shares.into_iter().map(begin).collect() }
+        InFlightGuard { tracker: self.clone(), shares: shares.into_iter().map(start).collect() }
     }
 
     /// An endpoint has started again: nothing that was seen of it says anything of its new life.
-    pub fn on_new_life(&self, endpoint: &str, now: Instant) {
-        let renewed = Seen { renewed_at: Some(now), ..Seen::new(self.next_life(), now) };
+    pub fn on_restart(&self, endpoint: &str, now: Instant) {
+        let renewed = Seen { restarted_at: Some(now), ..Seen::new(self.next_life(), now) };
         self.seen.borrow_mut().insert(endpoint.to_owned(), renewed);
     }
 
@@ -148,9 +148,9 @@
 
     /// Whether an endpoint was found to have started again at a moment or later. What was sent to it before
     /// is lost there.
-    pub fn renewed_since(&self, endpoint: &str, since: Instant) -> bool {
+    pub fn restarted_since(&self, endpoint: &str, since: Instant) -> bool {
         let seen = self.seen.borrow();
-        seen.get(endpoint).and_then(|seen| seen.renewed_at).is_some_and(|at| at >= since)
+        seen.get(endpoint).and_then(|seen| seen.restarted_at).is_some_and(|at| at >= since)
     }
 
     /// What this VM sent to an engine since a moment, less what was given back.
@@ -165,7 +165,7 @@
     }
 
     /// Whether an endpoint may be given work: it is healthy, or due for a trial.
-    pub fn takes_work(&self, endpoint: &str, now: Instant) -> bool {
+    pub fn accepts_work(&self, endpoint: &str, now: Instant) -> bool {
         self.seen.borrow().get(endpoint).is_none_or(|seen| match seen.health.state() {
             HealthState::Active | HealthState::Returning => true,
             HealthState::Ejected => !seen.on_trial && seen.health.probe_due(now, &LIMITS),
@@ -175,7 +175,7 @@
 
     /// Whether an engine may be part of a path. Unlike plain endpoints, engines are not tried
     /// with requests of callers: they are asked for a report first.
-    pub fn may_run_part(&self, endpoint: &str) -> bool {
+    pub fn may_join_path(&self, endpoint: &str) -> bool {
         !self.is_ejected(endpoint)
     }
 
--- a/crates/sillbank_gateway/src/ends.rs
+++ b/crates/sillbank_gateway/src/ends.rs
@@ -78,7 +78,7 @@
     job: &Rc<Job>,
     send: BrokenSend,
 ) {
-    let standing = gateway.knowledge.endpoints(|all| all.get(&send.endpoint).map(|e| e.standing));
+    let standing = gateway.platform.endpoints(|all| all.get(&send.endpoint).map(|e| e.standing));
     if !silence_means_loss(standing) {
         return;
     }
@@ -101,7 +101,7 @@
     let look = ends.look(endpoint);
     let _turn = look.lock().await;
     if ends.ended_since(endpoint, send.sent_at)
-        || gateway.book.renewed_since(endpoint, send.sent_at)
+        || gateway.endpoint_tracker.restarted_since(endpoint, send.sent_at)
     {
         return true;
     }
--- a/crates/sillbank_gateway/src/feed/client.rs
+++ b/crates/sillbank_gateway/src/feed/client.rs
@@ -1,6 +1,8 @@
 //! The asking side of the feed: VMs ask their leader, leaders ask those of other halls.
 
-use super::messages::{EndpointNews, FeedAsk, FeedNews, FeedReply, Incarnation, SeenMark};
+use super::messages::{
+    EndpointUpdate, FeedCursor, FeedReply, FeedRequest, FeedUpdate, Incarnation,
+};
 use crate::gateway::Gateway;
 use crate::limit_parts::PartsFrom;
 use crate::store::MetadataStore;
@@ -63,7 +65,7 @@
     stream: TcpStream,
     address: SocketAddr,
     /// Incarnation of the leader and the newest of its boards that was seen.
-    boards_seen: Option<(Incarnation, u64)>,
+    hall_reports_seen: Option<(Incarnation, u64)>,
     endpoints: Replication,
     /// How often all endpoints were to be read again when this was last asked.
     rereads: u64,
@@ -85,7 +87,7 @@
         Ok(Self {
             stream,
             address,
-            boards_seen: None,
+            hall_reports_seen: None,
             endpoints: Replication::default(),
             rereads: 0,
             quarantine_seen: 0,
@@ -102,30 +104,30 @@
         }
     }
 
-    fn seen(&self) -> Option<SeenMark> {
-        let (incarnation, boards) = self.boards_seen?;
-        Some(SeenMark {
+    fn seen(&self) -> Option<FeedCursor> {
+        let (incarnation, hall_reports) = self.hall_reports_seen?;
+        Some(FeedCursor {
             incarnation,
             endpoints: self.endpoints.seen(),
-            boards,
+            hall_reports,
             quarantine: self.quarantine_seen,
             limits: self.limits_seen,
         })
     }
 
     /// Notes what a leader's news bring; what was seen of another process counts no more.
-    fn on_news(&mut self, news: &FeedNews) {
-        if self.boards_seen.is_some_and(|(known, _)| known != news.incarnation) {
+    fn on_news(&mut self, news: &FeedUpdate) {
+        if self.hall_reports_seen.is_some_and(|(known, _)| known != news.incarnation) {
             self.endpoints = Replication::default();
             self.suspects_told = 0;
             self.limits_told = 0;
         }
         self.limits_seen = news.limits.up_to;
         self.quarantine_seen = news.quarantine.up_to;
-        self.boards_seen = Some((news.incarnation, news.boards_seen));
+        self.hall_reports_seen = Some((news.incarnation, news.hall_reports_seen));
     }
 
-    async fn ask(&mut self, ask: &FeedAsk) -> Result<FeedReply, FrameError> {
+    async fn ask(&mut self, ask: &FeedRequest) -> Result<FeedReply, FrameError> {
         write_message(&mut self.stream, ask).await?;
         read_message(&mut self.stream).await
     }
@@ -137,7 +139,7 @@
     let mut link: Option<Link> = None;
     let mut followed = BTreeSet::new();
     loop {
-        if gateway.hall.tells.get().is_some() {
+        if gateway.hall.acting_fence.get().is_some() {
             link = None;
             follow_new_halls(&gateway, &mut followed);
             smol::Timer::after(NEW_HALLS_INTERVAL).await;
@@ -149,18 +151,18 @@
         };
         let sent = Instant::now();
         match ask_once(&gateway, &mut link, leader, &AskFor::News).await {
-            Ok(FeedReply::News(news)) => {
+            Ok(FeedReply::Update(news)) => {
                 take_parts(&gateway, &news, &PartsFrom::OwnLeader, sent);
                 let holds_lease = news.holds_lease;
-                gateway.hall.on_told_vms(news.hall_vms);
+                gateway.hall.on_hall_vms(news.hall_vms);
                 let confirmed = take_news(&gateway, &mut link, *news, sent, true);
-                gateway.hall.on_news(Instant::now(), confirmed, holds_lease);
+                gateway.hall.on_leader_update(Instant::now(), confirmed, holds_lease);
             }
-            Ok(FeedReply::NotLeading { leader: Some(other) }) if other != leader => {
+            Ok(FeedReply::NotLeader { leader: Some(other) }) if other != leader => {
                 gateway.hall.on_redirect(other, gateway.settings().peer_listen);
                 smol::Timer::after(REDIRECT_PAUSE).await;
             }
-            Ok(FeedReply::NotLeading { .. }) => {
+            Ok(FeedReply::NotLeader { .. }) => {
                 gateway.hall.on_redirect_failed();
                 smol::Timer::after(PAUSE).await;
             }
@@ -194,7 +196,7 @@
         let Some(link) = link else {
             return Err(FrameError::Io(std::io::ErrorKind::NotConnected.into()));
         };
-        link.note_rereads(gateway.knowledge.rereads());
+        link.note_rereads(gateway.platform.rereads());
         let settings = gateway.settings();
         let told = gateway.quarantine.borrow().witnessed_since(
             link.suspects_told,
@@ -204,14 +206,14 @@
         let (now, parts_from) = (Instant::now(), ask_for.parts_from());
         let told_limits =
             gateway.pushback.borrow().witnessed_since(link.limits_told, MOST_LIMITS_TOLD, now);
-        let ask = FeedAsk {
+        let ask = FeedRequest {
             vm: settings.vm.clone(),
             hall: settings.hall.clone(),
             peer: settings.peer_listen,
-            strength: gateway.strength(),
-            confirmed_age_ms: gateway.knowledge.stamp(Instant::now()).catalog_age_ms,
-            asks_source: *ask_for == AskFor::SourceNews,
-            catalog: gateway.knowledge.catalog().map(|catalog| catalog.version()),
+            leader_score: gateway.leader_score(),
+            confirmed_age_ms: gateway.platform.stamp(Instant::now()).catalog_age_ms,
+            is_source_request: *ask_for == AskFor::SourceNews,
+            catalog: gateway.platform.catalog().map(|catalog| catalog.version()),
             seen: link.seen(),
             demand: gateway.demand_report(*ask_for == AskFor::News),
             suspects: told.suspects,
@@ -219,7 +221,7 @@
             wants: parts_from.map(|from| gateway.wants_of(&from, now)).unwrap_or_default(),
         };
         let reply = link.ask(&ask).await?;
-        if let FeedReply::News(news) = &reply {
+        if let FeedReply::Update(news) = &reply {
             link.on_news(news);
             link.suspects_told = told.up_to;
             link.limits_told = told_limits.up_to;
@@ -233,13 +235,13 @@
 pub(super) fn take_news<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     link: &mut Option<Link>,
-    news: FeedNews,
+    news: FeedUpdate,
     sent: Instant,
     takes_endpoints: bool,
 ) -> Option<Instant> {
     let now = Instant::now();
     let confirmed = news.confirmed_since(sent, now);
-    let confirmed = confirmed.filter(|_| !gateway.knowledge.was_suspended_since(sent));
+    let confirmed = confirmed.filter(|_| !gateway.platform.was_suspended_since(sent));
     if let Some(parts) = news.catalog {
         let version = parts.version;
         match Catalog::new(parts.clone()) {
@@ -253,22 +255,22 @@
         }
     }
     if let (Some(link), Some(endpoints)) = (link, news.endpoints) {
-        let EndpointNews { at, difference } = endpoints;
-        gateway.on_told_endpoints(&mut link.endpoints, at, difference, takes_endpoints);
+        let EndpointUpdate { at, difference } = endpoints;
+        gateway.on_reported_endpoints(&mut link.endpoints, at, difference, takes_endpoints);
     }
-    gateway.on_told_suspects(&news.quarantine.suspects, Teller::Leader);
-    if gateway.hall.tells.get().is_none() {
-        gateway.on_quarantine_known();
+    gateway.on_reported_suspects(&news.quarantine.suspects, Teller::Leader);
+    if gateway.hall.acting_fence.get().is_none() {
+        gateway.on_quarantine_loaded();
     }
     let own = gateway.settings().hall.clone();
-    for board in news.boards {
+    for board in news.hall_reports {
         if board.hall == own {
-            gateway.hall.note_hall_vms(board.vms);
+            gateway.hall.record_hall_vms(board.vms);
         }
-        gateway.hear_lives(&board);
-        gateway.hall.boards.keep(now, board);
+        gateway.on_reported_incarnations(&board);
+        gateway.hall.reports.insert(now, board);
     }
-    gateway.knowledge.confirm_catalog(confirmed?, news.confirmed_at);
+    gateway.platform.confirm_catalog(confirmed?, news.confirmed_at);
     confirmed
 }
 
@@ -276,11 +278,11 @@
 /// not known would be left.
 fn take_parts<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    news: &FeedNews,
+    news: &FeedUpdate,
     from: &PartsFrom,
     sent: Instant,
 ) {
-    gateway.on_told_limits(&news.limits.limits, "a leader");
+    gateway.on_reported_limits(&news.limits.limits, "a leader");
     if let Some(given_at) = news.made_at(sent, Instant::now()) {
         gateway.take_parts(&news.parts, from, given_at);
     }
@@ -292,7 +294,7 @@
     followed: &mut BTreeSet<HallId>,
 ) {
     let own = gateway.settings().hall.clone();
-    let halls = gateway.knowledge.halls();
+    let halls = gateway.platform.halls();
     for hall in halls.iter().filter(|hall| **hall != own) {
         if followed.insert(hall.clone()) {
             gateway.executor.spawn(follow_other_hall(gateway.clone(), hall.clone())).detach();
@@ -305,7 +307,7 @@
 async fn follow_other_hall<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>, hall: HallId) {
     let mut other = OtherHall { hall, link: None, leader: None, lost: None, lease_read_at: None };
     loop {
-        if gateway.hall.tells.get().is_some() {
+        if gateway.hall.acting_fence.get().is_some() {
             other.ask(&gateway).await;
             smol::Timer::after(OTHER_HALL_PAUSE).await;
         } else {
@@ -334,24 +336,25 @@
         let sent = Instant::now();
         let ask_for = AskFor::NewsOfHall(self.hall.clone());
         match ask_once(gateway, &mut self.link, leader, &ask_for).await {
-            Ok(FeedReply::News(news)) => {
+            Ok(FeedReply::Update(news)) => {
                 take_parts(gateway, &news, &PartsFrom::Hall(self.hall.clone()), sent);
-                let takes_endpoints = !gateway.store_is_reached() || gateway.senior_suffices(sent);
+                let takes_endpoints =
+                    !gateway.store_is_reached() || gateway.upstream_is_fresh(sent);
                 let follows_store = news.follows_store;
                 let confirmed = take_news(gateway, &mut self.link, *news, sent, takes_endpoints);
                 let now = Instant::now();
-                gateway.hall.on_other_news(&self.hall, now, confirmed, follows_store);
+                gateway.hall.on_other_leader_update(&self.hall, now, confirmed, follows_store);
             }
-            Ok(FeedReply::NotLeading { leader }) => {
+            Ok(FeedReply::NotLeader { leader }) => {
                 self.leader = leader;
-                gateway.hall.on_other_lost(&self.hall);
+                gateway.hall.on_other_leader_lost(&self.hall);
             }
             Err(error) => {
                 self.link = None;
                 self.leader = None;
                 self.lost = Some(leader);
                 let hall = &self.hall;
-                gateway.hall.on_other_lost(hall);
+                gateway.hall.on_other_leader_lost(hall);
                 tracing::debug!(hall, %leader, %error, "feed: Another hall's leader is lost.");
             }
         }
@@ -361,7 +364,7 @@
     /// store is away, or by its lease, if that was not read lately.
     async fn look_up<W: Wire, S: MetadataStore>(&mut self, gateway: &Rc<Gateway<W, S>>) {
         let now = Instant::now();
-        let told = gateway.hall.boards.leader(&self.hall, now);
+        let told = gateway.hall.reports.leader(&self.hall, now);
         if told.is_some() && told != self.lost {
             self.leader = told;
             return;
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -1,6 +1,6 @@
 //! Messages of the feed, as postcard frames over TCP.
 
-use crate::hall::{HallVms, Strength};
+use crate::hall::{HallVms, LeaderScore};
 use crate::revision::Revision;
 use crate::wire::EngineReport;
 use serde::{Deserialize, Serialize};
@@ -19,13 +19,13 @@
 
 /// What a VM has seen of a leader's knowledge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenMark {
+pub struct FeedCursor {
     /// Incarnation of the leader's process.
     pub incarnation: Incarnation,
     /// Newest change of the leader's directory.
     pub endpoints: ChangeNumber,
     /// Number of the newest board that was passed on.
-    pub boards: u64,
+    pub hall_reports: u64,
     /// Newest change of requests that end their endpoints.
     pub quarantine: u64,
     /// Newest change of what endpoints said of their limits.
@@ -34,7 +34,7 @@
 
 /// A VM asks a leader for what is new.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FeedAsk {
+pub struct FeedRequest {
     /// Who asks.
     pub vm: VmId,
     /// Its hall.
@@ -42,15 +42,15 @@
     /// Where it is asked if it leads.
     pub peer: SocketAddr,
     /// How fit it is to lead; 0 if it does not want to.
-    pub strength: Strength,
+    pub leader_score: LeaderScore,
     /// Time since its configuration was last confirmed, in milliseconds.
     pub confirmed_age_ms: Option<u64>,
     /// Whether it leads and asks a VM of its hall, as it has lost the store.
-    pub asks_source: bool,
+    pub is_source_request: bool,
     /// Version of the configuration it has.
     pub catalog: Option<CatalogVersion>,
     /// What it has seen of this leader.
-    pub seen: Option<SeenMark>,
+    pub seen: Option<FeedCursor>,
     /// What it was asked for in the last second, told to the leader of its own hall.
     pub demand: Option<DemandReport>,
     /// Requests under which it saw endpoints end, as far as it has not told them yet.
@@ -63,7 +63,7 @@
 
 /// What a leader's directory has that the asking VM lacks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointNews {
+pub struct EndpointUpdate {
     /// Revision of the store as of which it holds.
     pub at: Revision,
     /// The difference, or a piece of it.
@@ -93,7 +93,7 @@
 
 /// What is known of a hall's engines, and what the hall is asked for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HallBoard {
+pub struct HallReport {
     /// Hall.
     pub hall: HallId,
     /// Time since the engines were asked, in milliseconds.
@@ -104,7 +104,7 @@
     pub leader: SocketAddr,
     /// Whether all engines are told of, and those that are missing are gone. If not, those that are
     /// missing are as told before.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Engines.
     pub engines: Vec<EngineState>,
     /// What the hall is asked for; `None` if its leader has not heard all VMs yet, or if the asking VM knows it.
@@ -192,11 +192,11 @@
 
 /// What a leader knows that the asking VM may not.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FeedNews {
+pub struct FeedUpdate {
     /// Incarnation of the leader's process.
     pub incarnation: Incarnation,
     /// Number of the newest board that the asking VM has seen after this.
-    pub boards_seen: u64,
+    pub hall_reports_seen: u64,
     /// Whether the leader holds the hall's lease. If not, the store is away, or another VM may take it.
     pub holds_lease: bool,
     /// Whether the leader asks the store itself and is answered. If not, another VM does for it. Said by a
@@ -213,9 +213,9 @@
     /// The configuration, if it is newer.
     pub catalog: Option<CatalogParts>,
     /// What is new of endpoints; `None` if the leader has not read them yet.
-    pub endpoints: Option<EndpointNews>,
+    pub endpoints: Option<EndpointUpdate>,
     /// Engines of this hall and of others, as far as they are new to the asking VM.
-    pub boards: Vec<HallBoard>,
+    pub hall_reports: Vec<HallReport>,
     /// Requests under which endpoints ended, as far as they are new to the asking VM.
     pub quarantine: QuarantineNews,
     /// What endpoints said of their limits, as far as it is new to the asking VM.
@@ -224,7 +224,7 @@
     pub parts: Vec<PartNews>,
 }
 
-impl FeedNews {
+impl FeedUpdate {
     /// When the leader's configuration was confirmed, by the clock of a VM that sent its ask at
     /// `sent` and had its answer at `answered`. The leader answered no sooner than `held_ms` after the ask.
     /// `None` if it tells no such time, or an absurd one.
@@ -240,13 +240,13 @@
     }
 }
 
-/// Answer to [`FeedAsk`].
+/// Answer to [`FeedRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FeedReply {
     /// What is new.
-    News(Box<FeedNews>),
+    Update(Box<FeedUpdate>),
     /// The VM does not lead its hall.
-    NotLeading {
+    NotLeader {
         /// Where the one that does is asked, if it knows.
         leader: Option<SocketAddr>,
     },
--- a/crates/sillbank_gateway/src/feed/mod.rs
+++ b/crates/sillbank_gateway/src/feed/mod.rs
@@ -13,8 +13,8 @@
 
 pub use client::follow_leader;
 pub use messages::{
-    EndpointNews, EngineState, FeedAsk, FeedNews, FeedReply, HallBoard, HallRates, Incarnation,
-    NEARLY_FULL_PERMILLE, SeenMark,
+    EndpointUpdate, EngineState, FeedCursor, FeedReply, FeedRequest, FeedUpdate, HallRates,
+    HallReport, Incarnation, NEARLY_FULL_PERMILLE,
 };
 pub use server::serve_feed;
 pub use source::follow_source;
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -1,7 +1,7 @@
 //! A leader's side of the feed.
 
-use super::messages::{EndpointNews, FeedAsk, FeedNews, FeedReply, SeenMark};
-use crate::freshness::NEWS_WAIT;
+use super::messages::{EndpointUpdate, FeedCursor, FeedReply, FeedRequest, FeedUpdate};
+use crate::freshness::LONG_POLL_WAIT;
 use crate::gateway::Gateway;
 use crate::store::MetadataStore;
 use crate::wire::Wire;
@@ -54,7 +54,8 @@
             smol::Timer::after(ASK_WAIT).await;
             Err(FrameError::Io(std::io::ErrorKind::TimedOut.into()))
         };
-        let asked = futures_lite::future::or(read_message::<FeedAsk, _>(&mut stream), late).await;
+        let asked =
+            futures_lite::future::or(read_message::<FeedRequest, _>(&mut stream), late).await;
         let ended = match asked {
             Ok(ask) => {
                 let reply = answer(&gateway, &ask).await;
@@ -69,52 +70,56 @@
     }
 }
 
-async fn answer<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, ask: &FeedAsk) -> FeedReply {
+async fn answer<W: Wire, S: MetadataStore>(
+    gateway: &Gateway<W, S>,
+    ask: &FeedRequest,
+) -> FeedReply {
     let began = Instant::now();
-    let knowledge = &gateway.knowledge;
+    let platform = &gateway.platform;
     let seen = ask.seen.filter(|seen| seen.incarnation == gateway.incarnation);
-    if ask.asks_source {
-        gateway.hall.on_asked_as_source(began);
+    if ask.is_source_request {
+        gateway.hall.on_source_request(began);
     }
-    gateway.on_told_demand(ask, began);
+    gateway.on_reported_demand(ask, began);
     let teller = match ask.hall == gateway.settings().hall {
         true => Teller::Member,
         false => Teller::Leader,
     };
-    gateway.on_told_suspects(&ask.suspects, teller);
-    gateway.on_told_limits(&ask.limits, "another VM");
-    let may_answer = || ask.asks_source || gateway.hall.tells.get().is_some();
+    gateway.on_reported_suspects(&ask.suspects, teller);
+    gateway.on_reported_limits(&ask.limits, "another VM");
+    let may_answer = || ask.is_source_request || gateway.hall.acting_fence.get().is_some();
     if may_answer() && !has_news(gateway, ask, seen) {
         let wait = async {
-            smol::Timer::after(NEWS_WAIT).await;
+            smol::Timer::after(LONG_POLL_WAIT).await;
         };
-        let news = futures_lite::future::or(knowledge.changed(), gateway.hall.posted());
+        let news = futures_lite::future::or(platform.changed(), gateway.hall.report_published());
         // Whoever asks acts by how old the confirmation is, or passes it on.
-        let news = futures_lite::future::or(news, knowledge.confirmed());
+        let news = futures_lite::future::or(news, platform.confirmed());
         futures_lite::future::or(news, wait).await;
     }
     if !may_answer() {
-        return FeedReply::NotLeading { leader: gateway.hall.leader.get() };
+        return FeedReply::NotLeader { leader: gateway.hall.leader.get() };
     }
     let now = Instant::now();
-    if ask.hall == gateway.settings().hall && !ask.asks_source {
+    if ask.hall == gateway.settings().hall && !ask.is_source_request {
         let confirmed_age = ask.confirmed_age_ms.map(Duration::from_millis);
-        gateway.hall.on_asker(&ask.vm, ask.peer, ask.strength, confirmed_age, now);
+        gateway.hall.on_follower(&ask.vm, ask.peer, ask.leader_score, confirmed_age, now);
     }
-    let catalog = has_newer_catalog(gateway, ask).then(|| knowledge.catalog_parts()).flatten();
-    let (boards_seen, boards) = gateway.hall.boards.since(seen.map_or(0, |seen| seen.boards), now);
-    FeedReply::News(Box::new(FeedNews {
+    let catalog = has_newer_catalog(gateway, ask).then(|| platform.catalog_parts()).flatten();
+    let (hall_reports_seen, hall_reports) =
+        gateway.hall.reports.since(seen.map_or(0, |seen| seen.hall_reports), now);
+    FeedReply::Update(Box::new(FeedUpdate {
         incarnation: gateway.incarnation,
-        boards_seen,
-        holds_lease: gateway.hall.leads.get().is_some(),
-        follows_store: gateway.store_is_reached() && !gateway.senior_suffices(now),
-        hall_vms: gateway.hall.vm_count(now, gateway.strength()),
+        hall_reports_seen,
+        holds_lease: gateway.hall.lease_fence.get().is_some(),
+        follows_store: gateway.store_is_reached() && !gateway.upstream_is_fresh(now),
+        hall_vms: gateway.hall.vm_count(now, gateway.leader_score()),
         held_ms: began.elapsed().as_millis() as u64,
-        confirmed_age_ms: knowledge.stamp(now).catalog_age_ms,
-        confirmed_at: knowledge.catalog_at(),
+        confirmed_age_ms: platform.stamp(now).catalog_age_ms,
+        confirmed_at: platform.catalog_at(),
         catalog: catalog.map(|parts| (*parts).clone()),
         endpoints: endpoint_news(gateway, seen),
-        boards,
+        hall_reports,
         quarantine: gateway.quarantine.borrow().news_since(
             seen.map_or(0, |seen| seen.quarantine),
             MOST_SUSPECTS,
@@ -131,13 +136,13 @@
 
 fn has_news<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    ask: &FeedAsk,
-    seen: Option<SeenMark>,
+    ask: &FeedRequest,
+    seen: Option<FeedCursor>,
 ) -> bool {
-    let newest = gateway.knowledge.endpoints(Directory::newest_change);
+    let newest = gateway.platform.endpoints(Directory::newest_change);
     let urgent = gateway.quarantine.borrow().newest_urgent();
     let limits = gateway.pushback.borrow().newest();
-    let is_new = |seen: SeenMark| {
+    let is_new = |seen: FeedCursor| {
         seen.endpoints != newest || seen.quarantine < urgent || seen.limits < limits
     };
     has_newer_catalog(gateway, ask)
@@ -145,21 +150,24 @@
         || gateway.owes_part(ask, Instant::now())
 }
 
-fn has_newer_catalog<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, ask: &FeedAsk) -> bool {
-    let known = gateway.knowledge.catalog();
+fn has_newer_catalog<W: Wire, S: MetadataStore>(
+    gateway: &Gateway<W, S>,
+    ask: &FeedRequest,
+) -> bool {
+    let known = gateway.platform.catalog();
     known.is_some_and(|known| Some(known.version()) > ask.catalog)
 }
 
 fn endpoint_news<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    seen: Option<SeenMark>,
-) -> Option<EndpointNews> {
-    let knowledge = &gateway.knowledge;
+    seen: Option<FeedCursor>,
+) -> Option<EndpointUpdate> {
+    let platform = &gateway.platform;
     let since = seen.map_or(0, |seen| seen.endpoints);
     let difference =
         |directory: &Directory| directory.difference(Instant::now(), since, MOST_CHANGES);
-    knowledge.knows_endpoints().then(|| EndpointNews {
-        at: knowledge.endpoints_at(),
-        difference: knowledge.endpoints(difference),
+    platform.knows_endpoints().then(|| EndpointUpdate {
+        at: platform.endpoints_at(),
+        difference: platform.endpoints(difference),
     })
 }
--- a/crates/sillbank_gateway/src/feed/source.rs
+++ b/crates/sillbank_gateway/src/feed/source.rs
@@ -2,7 +2,7 @@
 
 use super::client::{AskFor, Link, ask_once, take_news};
 use super::messages::FeedReply;
-use crate::freshness::NEED_POLL;
+use crate::freshness::SOURCE_CHECK_INTERVAL;
 use crate::gateway::Gateway;
 use crate::sources::SourceNeed;
 use crate::store::MetadataStore;
@@ -20,20 +20,20 @@
         source = choose_source(&gateway, source);
         let Some(address) = source else {
             link = None;
-            smol::Timer::after(NEED_POLL).await;
+            smol::Timer::after(SOURCE_CHECK_INTERVAL).await;
             continue;
         };
         let sent = Instant::now();
         match ask_once(&gateway, &mut link, address, &AskFor::SourceNews).await {
-            Ok(FeedReply::News(news)) => {
+            Ok(FeedReply::Update(news)) => {
                 take_news(&gateway, &mut link, *news, sent, true);
             }
-            Ok(FeedReply::NotLeading { .. }) => source = None,
+            Ok(FeedReply::NotLeader { .. }) => source = None,
             Err(error) => {
                 tracing::info!(source = %address, %error, "feed: The source is lost.");
                 link = None;
                 source = None;
-                smol::Timer::after(NEED_POLL).await;
+                smol::Timer::after(SOURCE_CHECK_INTERVAL).await;
             }
         }
     }
@@ -45,10 +45,10 @@
     asked_so_far: Option<SocketAddr>,
 ) -> Option<SocketAddr> {
     let now = Instant::now();
-    let confirmed = gateway.knowledge.catalog_confirmed()?;
+    let confirmed = gateway.platform.catalog_confirmed()?;
     let need = SourceNeed {
         confirmed,
-        enough_for: gateway.freshness().enough_for,
+        max_staleness: gateway.freshness().max_staleness,
         store_is_reached: gateway.store_is_reached(),
     };
     let chosen = need.choose(&gateway.hall, now, asked_so_far);
--- a/crates/sillbank_gateway/src/follow.rs
+++ b/crates/sillbank_gateway/src/follow.rs
@@ -1,10 +1,10 @@
 //! Follows the store: configuration and endpoints, by watches that are never left to hang.
 
 use crate::backoff::Backoff;
-use crate::freshness::{NEED_POLL, confirmed_by_watch};
+use crate::freshness::{SOURCE_CHECK_INTERVAL, confirmed_by_watch};
 use crate::gateway::Gateway;
 use crate::revision::Revision;
-use crate::sources::{FIRST_LEADER_WAIT, Followed, SourceView, is_told};
+use crate::sources::{INITIAL_LEADER_WAIT, SourceState, WatchKind, relies_on_leader};
 use crate::store::{CatalogRead, MetadataStore, Snapshot, StoreError};
 use crate::wire::Wire;
 use sillbank_catalog::prelude::*;
@@ -31,33 +31,33 @@
         if left.is_zero() {
             return;
         }
-        smol::Timer::after(left.min(NEED_POLL)).await;
+        smol::Timer::after(left.min(SOURCE_CHECK_INTERVAL)).await;
     }
 }
 
-pub(crate) fn source_view<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) -> SourceView {
+pub(crate) fn source_view<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) -> SourceState {
     let (now, hall) = (Instant::now(), &gateway.hall);
-    SourceView {
+    SourceState {
         leader_is_live: hall.leader_is_live(now),
         leader_holds_lease: hall.leader_holds_lease(now),
-        leader_suffices: hall.leader_suffices(now, gateway.freshness())
-            || gateway.senior_suffices(now),
+        leader_is_fresh: hall.leader_is_fresh(now, gateway.freshness())
+            || gateway.upstream_is_fresh(now),
         is_source: hall.is_source(now),
-        has_catalog: gateway.knowledge.catalog().is_some(),
+        has_catalog: gateway.platform.catalog().is_some(),
         store_is_reached: gateway.store_is_reached(),
-        awaits_leader: gateway.age(now) < FIRST_LEADER_WAIT && !hall.has_leader(now),
+        awaits_leader: gateway.age(now) < INITIAL_LEADER_WAIT && !hall.has_leader(now),
     }
 }
 
 /// Waits while the hall's leader tells enough; answers whether it did so far.
 async fn wait_for_need<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    followed: Followed,
+    followed: WatchKind,
 ) -> bool {
     let mut was_told = false;
-    while is_told(followed, source_view(gateway)) {
+    while relies_on_leader(followed, source_view(gateway)) {
         was_told = true;
-        smol::Timer::after(NEED_POLL).await;
+        smol::Timer::after(SOURCE_CHECK_INTERVAL).await;
     }
     was_told
 }
@@ -69,15 +69,15 @@
     let mut excess = Duration::ZERO;
     let mut has_failed = false;
     loop {
-        let was_told = wait_for_need(&gateway, Followed::Catalog).await;
+        let was_told = wait_for_need(&gateway, WatchKind::Catalog).await;
         if was_told {
             // What the leader told is newer than what was last watched here.
-            since = Some(gateway.knowledge.catalog_at()).filter(|at| *at > Revision::NONE);
+            since = Some(gateway.platform.catalog_at()).filter(|at| *at > Revision::NONE);
         }
         let sent = Instant::now();
         let wait = match was_told || has_failed {
             true => FIRST_WAIT,
-            false => gateway.freshness().leader_wait_after(excess),
+            false => gateway.freshness().watch_wait_after(excess),
         };
         let is_watch = since.is_some();
         let read = match since {
@@ -97,8 +97,8 @@
                     confirmed = confirmed_by_watch(sent, wait, answered);
                     excess = answered.saturating_duration_since(sent + wait);
                 }
-                if take_catalog(&gateway, read) && !gateway.knowledge.was_suspended_since(sent) {
-                    gateway.knowledge.confirm_catalog_by_store(confirmed, at);
+                if take_catalog(&gateway, read) && !gateway.platform.was_suspended_since(sent) {
+                    gateway.platform.confirm_catalog_by_store(confirmed, at);
                 }
             }
             Err(error) => {
@@ -110,7 +110,7 @@
                 pause(&mut backoff, &gateway).await;
             }
         }
-        if gateway.knowledge.catalog().is_none() {
+        if gateway.platform.catalog().is_none() {
             pause(&mut backoff, &gateway).await;
         }
     }
@@ -151,13 +151,13 @@
 pub async fn follow_endpoints<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     let mut since: Option<Revision> = None;
     let mut backoff = Backoff::default();
-    let mut rereads = gateway.knowledge.rereads();
+    let mut rereads = gateway.platform.rereads();
     loop {
-        if wait_for_need(&gateway, Followed::Endpoints).await {
+        if wait_for_need(&gateway, WatchKind::Endpoints).await {
             // The leader's list is newer than what was last watched here.
-            since = Some(gateway.knowledge.endpoints_at()).filter(|at| *at > Revision::NONE);
+            since = Some(gateway.platform.endpoints_at()).filter(|at| *at > Revision::NONE);
         }
-        if std::mem::replace(&mut rereads, gateway.knowledge.rereads()) != rereads {
+        if std::mem::replace(&mut rereads, gateway.platform.rereads()) != rereads {
             since = None;
         }
         let sent = Instant::now();
@@ -191,8 +191,8 @@
         gateway.on_unreadable(entry);
     }
     gateway.unreadable.retain(&list.value.unreadable);
-    let removals = gateway.knowledge.take_endpoints(Instant::now(), list);
-    gateway.clear_older_lives();
+    let removals = gateway.platform.apply_listing(Instant::now(), list);
+    gateway.reset_restarted_endpoints();
     gateway.log_held_back();
     gateway.on_removals(&removals);
     smol::Timer::after(GATHER).await;
@@ -207,7 +207,7 @@
 ) -> Result<Option<Snapshot<Vec<Change>>>, StoreError> {
     let watch = async { gateway.store.watch_endpoints(since, ENDPOINTS_WAIT).await.map(Some) };
     let returned = async {
-        gateway.knowledge.store_returned().await;
+        gateway.platform.store_returned().await;
         tracing::debug!("store: The watch of endpoints begins again, as the store was away.");
         Ok(None)
     };
@@ -236,8 +236,8 @@
             Change::Removed { .. } | Change::Lapsed { .. } => {}
         }
     }
-    let removals = gateway.knowledge.take_changes(Instant::now(), changes);
-    gateway.clear_older_lives();
+    let removals = gateway.platform.apply_changes(Instant::now(), changes);
+    gateway.reset_restarted_endpoints();
     gateway.log_held_back();
     gateway.on_removals(&removals);
     if has_changes {
--- a/crates/sillbank_gateway/src/forecasts.rs
+++ b/crates/sillbank_gateway/src/forecasts.rs
@@ -4,7 +4,7 @@
 use crate::job::Job;
 use crate::mechanisms::Mechanisms;
 use crate::metrics::Metrics;
-use crate::paths::{PathAsk, Views};
+use crate::paths::{PathRequest, RoutingContext};
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -54,11 +54,11 @@
     /// figures do not tell enough of the path's engines.
     pub fn foretell(
         &self,
-        views: Views<'_>,
-        ask: PathAsk<'_>,
+        views: RoutingContext<'_>,
+        ask: PathRequest<'_>,
         path: &LayerPath,
     ) -> Option<Foretold> {
-        let (hall, plain) = views.knowledge.endpoints(|directory| {
+        let (hall, plain) = views.platform.endpoints(|directory| {
             let hall = directory.get(&path.first().endpoint)?.hall.clone();
             let load = |part| engine_load(views, ask.figures, directory, part);
             let loads: Option<Vec<EngineLoad<'_>>> = path.parts().iter().map(load).collect();
@@ -123,14 +123,14 @@
 
 /// What the hall's leader tells of a path's engine; `None` if that is not known.
 fn engine_load<'a>(
-    views: Views<'_>,
+    views: RoutingContext<'_>,
     figures: &'a EngineFigures,
     directory: &Directory,
     part: &PathPart,
 ) -> Option<EngineLoad<'a>> {
     let record = directory.get(&part.endpoint)?;
     let kind = figures.accelerator(record.accelerator.as_deref()?)?;
-    views.hall.boards.engine(&record.hall, &record.id, views.now, |news| EngineLoad {
+    views.hall.reports.engine(&record.hall, &record.id, views.now, |news| EngineLoad {
         kind,
         layers: part.layers.len(),
         running: f64::from(news.state.running),
--- a/crates/sillbank_gateway/src/freshness.rs
+++ b/crates/sillbank_gateway/src/freshness.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 /// How long an ask waits at the leader for something new.
-pub const NEWS_WAIT: Duration = Duration::from_millis(400);
+pub const LONG_POLL_WAIT: Duration = Duration::from_millis(400);
 /// How often a VM that is told by its leader looks whether it has to ask the store itself.
-pub const NEED_POLL: Duration = Duration::from_millis(150);
+pub const SOURCE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// Part of the time within which a configuration must be in force that a leader relies on one confirmation.
 /// Where VMs first asked 0.4 s before the end of that time, one call whose answer was lost made them miss it.
 const ENOUGH_SHARE: f64 = 0.5;
@@ -36,7 +36,7 @@
 const OTHER_HALL_DELAY: Duration = Duration::from_millis(200);
 /// Time after a restore of the store from a copy within which the operator has written the newest configuration again. What
 /// the store holds until then may lack the revocation of a key.
-pub const REWRITTEN_WITHIN: Duration = Duration::from_millis(1_000);
+pub const RESTORE_SETTLE_TIME: Duration = Duration::from_millis(1_000);
 /// Shortest wait of a leader's watch. Each return is a priced call.
 const LEADER_WAIT_MIN: Duration = Duration::from_millis(200);
 
@@ -44,9 +44,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Freshness {
     /// How long a leader's watch of the configuration waits.
-    pub leader_wait: Duration,
+    pub watch_wait: Duration,
     /// Age of a confirmation from which a leader looks for another source, and the VMs of its hall begin to.
-    pub enough_for: Duration,
+    pub max_staleness: Duration,
     /// Longest time after that in which the VMs of a hall ask one after the other.
     longest_turns: Duration,
 }
@@ -55,36 +55,36 @@
     /// For a platform on which a configuration must be in force `config_in_force` after it was taken, and
     /// the revocation of a key within `key_revocation`.
     pub fn new(config_in_force: Duration, key_revocation: Duration) -> Self {
-        let enough_for = config_in_force.mul_f64(ENOUGH_SHARE);
+        let max_staleness = config_in_force.mul_f64(ENOUGH_SHARE);
         let keys_outlast = key_revocation.mul_f64(KEYS_OUTLAST);
-        let oldest_for_keys = lease_term(key_revocation).saturating_sub(keys_outlast);
+        let oldest_for_keys = catalog_lease_term(key_revocation).saturating_sub(keys_outlast);
         // A confirmation is as old as one wait when the next watch returns; then it waits to be passed on
         // by the leader of another hall and by that of this one, which both answer with each confirmation.
         let for_passing_on = RELAY_DELAY + OTHER_HALL_DELAY;
-        let for_wait = enough_for.min(oldest_for_keys).saturating_sub(for_passing_on);
+        let for_wait = max_staleness.min(oldest_for_keys).saturating_sub(for_passing_on);
         let longest_turns = config_in_force.mul_f64(TURNS_SHARE);
-        Self { leader_wait: for_wait.max(LEADER_WAIT_MIN), enough_for, longest_turns }
+        Self { watch_wait: for_wait.max(LEADER_WAIT_MIN), max_staleness, longest_turns }
     }
 
     /// Age of the leader's confirmation from which a VM of a hall asks the store itself. `turn`, from 0 to 1,
     /// says when it is this VM's turn among the `vms` of the hall.
-    pub fn enough_for_member(&self, vms: u32, turn: f64) -> Duration {
+    pub fn max_staleness_for_member(&self, vms: u32, turn: f64) -> Duration {
         if vms <= VMS_WITHOUT_TURNS {
-            return self.enough_for;
+            return self.max_staleness;
         }
         let turns = (TURN_OF_VM * vms).min(self.longest_turns);
-        self.enough_for + turns.mul_f64(turn.clamp(0.0, 1.0))
+        self.max_staleness + turns.mul_f64(turn.clamp(0.0, 1.0))
     }
 
     /// How long a leader's next watch waits when the one before took so long beyond its wait. A slow
     /// store makes confirmations older; shorter waits make up for it.
-    pub fn leader_wait_after(&self, excess: Duration) -> Duration {
-        self.leader_wait.saturating_sub(excess).max(LEADER_WAIT_MIN)
+    pub fn watch_wait_after(&self, excess: Duration) -> Duration {
+        self.watch_wait.saturating_sub(excess).max(LEADER_WAIT_MIN)
     }
 }
 
 /// For how long a configuration may be relied on after it was confirmed.
-pub fn lease_term(key_revocation: Duration) -> Duration {
+pub fn catalog_lease_term(key_revocation: Duration) -> Duration {
     key_revocation.saturating_sub(REVOCATION_MARGIN)
 }
 
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -1,22 +1,22 @@
 //! The parts of a gateway that its tasks share.
 
-use crate::call_book::CallBook;
+use crate::call_tracker::CallTracker;
 use crate::channels::ChannelPool;
 use crate::counted_store::CountedStore;
 use crate::decisions::{Decisions, Outcome};
-use crate::demand::DemandBook;
-use crate::endpoints::{EndpointBook, Evidence};
+use crate::demand::DemandTracker;
+use crate::endpoints::{EndpointTracker, Evidence};
 use crate::ends::EndedEndpoints;
 use crate::feed::Incarnation;
 use crate::forecasts::Forecasts;
 use crate::freshness::Freshness;
-use crate::hall::{Hall, Strength};
+use crate::hall::{Hall, LeaderScore};
 use crate::job::Job;
-use crate::knowledge::Knowledge;
 use crate::limit_parts::LimitParts;
 use crate::load::FleetLoad;
 use crate::metrics::{KindLabel, Metrics, OutcomeLabel};
-use crate::paths::Views;
+use crate::paths::RoutingContext;
+use crate::platform_view::PlatformView;
 use crate::revision::Revision;
 use crate::settings::GatewaySettings;
 use crate::store::StoreError;
@@ -42,11 +42,11 @@
 /// requests that end endpoints: when all VMs begin at once, each would send such a one again. It has them some
 /// 0.3 s after it began, also when all VMs began at once. Without the wait, 660 callers of 300 VMs were
 /// refused then.
-pub const FIRST_KNOWLEDGE_WAIT: Duration = Duration::from_millis(1_000);
+pub const STARTUP_WAIT: Duration = Duration::from_millis(1_000);
 
 /// Where the process stands between start and end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum LifecycleState {
     /// It serves.
     Serving,
     /// It was asked to stop; the balancer may not know yet, so new requests are still taken.
@@ -63,13 +63,13 @@
     /// The platform's store.
     pub store: CountedStore<S>,
     /// Configuration and endpoints.
-    pub knowledge: Knowledge,
+    pub platform: PlatformView,
     /// Entries of endpoints that cannot be read.
     pub unreadable: UnreadableEntries,
     /// Who leads this hall, and what leaders tell of engines.
     pub hall: Hall,
     /// What was seen of endpoints.
-    pub book: Rc<EndpointBook>,
+    pub endpoint_tracker: Rc<EndpointTracker>,
     /// Endpoints that ended under requests.
     pub ends: EndedEndpoints,
     /// What endpoints asked of VMs in their answers.
@@ -79,11 +79,11 @@
     /// Requests under which endpoints ended.
     pub quarantine: RefCell<Quarantine>,
     /// Whether a leader told of them, or the store was read, since this process began.
-    pub quarantine_is_known: Cell<bool>,
+    pub quarantine_is_loaded: Cell<bool>,
     /// Newest of their changes that those who ask this VM were woken for.
-    pub(crate) quarantine_told: Cell<u64>,
+    pub(crate) quarantine_announced: Cell<u64>,
     /// What was seen of endpoints of plain services.
-    pub call_book: CallBook,
+    pub call_tracker: CallTracker,
     /// What was learnt of forecasts of streams.
     pub forecasts: Forecasts,
     /// Streams in progress, by what was last heard of them.
@@ -91,7 +91,7 @@
     /// What is known of the load on services.
     pub load: FleetLoad,
     /// What this VM and its hall are asked for.
-    pub demand: DemandBook,
+    pub demand: DemandTracker,
     /// Connections to endpoints.
     pub channels: ChannelPool,
     /// Calls to engines beside requests: reports and orders.
@@ -107,7 +107,7 @@
     /// Runs tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Where the process stands.
-    pub life: Cell<Life>,
+    pub lifecycle: Cell<LifecycleState>,
     /// Drawn at the start, to tell this process from others on the same VM.
     pub incarnation: Incarnation,
     /// What is decided by chance is drawn here.
@@ -133,31 +133,31 @@
         let metrics = Metrics::default();
         let (incarnation, began) = (chance.number(), Instant::now());
         Self {
-            knowledge: Knowledge::new(settings.key_revocation),
+            platform: PlatformView::new(settings.key_revocation),
             kept: KeptBytes::new(settings.kept_bound_bytes()),
             settings: RefCell::new(Rc::new(settings)),
             store: CountedStore::new(store, metrics.store_calls.clone()),
             unreadable: UnreadableEntries::default(),
             limits: RefCell::default(),
             hall: Hall::new(chance.clone()),
-            book: Rc::default(),
+            endpoint_tracker: Rc::default(),
             ends: EndedEndpoints::default(),
             pushback: RefCell::default(),
             limit_parts: LimitParts::default(),
             quarantine: RefCell::default(),
-            quarantine_is_known: Cell::new(false),
-            quarantine_told: Cell::new(0),
-            call_book: CallBook::default(),
+            quarantine_is_loaded: Cell::new(false),
+            quarantine_announced: Cell::new(0),
+            call_tracker: CallTracker::default(),
             forecasts: Forecasts::default(),
             heard: Rc::default(),
             load: FleetLoad::default(),
-            demand: DemandBook::new(incarnation, began),
+            demand: DemandTracker::new(incarnation, began),
             channels: ChannelPool::new(executor.clone()),
             engine_calls,
             decisions: Decisions::default(),
             metrics,
             executor,
-            life: Cell::new(Life::Serving),
+            lifecycle: Cell::new(LifecycleState::Serving),
             incarnation,
             chance,
             in_progress: Cell::new(0),
@@ -180,12 +180,12 @@
     }
 
     /// What paths are chosen from.
-    pub fn views(&self, now: Instant) -> Views<'_> {
+    pub fn routing_context(&self, now: Instant) -> RoutingContext<'_> {
         let mechanisms = self.settings.borrow().mechanisms;
-        Views {
-            knowledge: &self.knowledge,
+        RoutingContext {
+            platform: &self.platform,
             hall: &self.hall,
-            book: &self.book,
+            endpoint_tracker: &self.endpoint_tracker,
             pushback: &self.pushback,
             mechanisms,
             chance: &self.chance,
@@ -194,9 +194,9 @@
     }
 
     /// Whether this VM leads and the leader of another hall follows the store for it.
-    pub fn senior_suffices(&self, now: Instant) -> bool {
+    pub fn upstream_is_fresh(&self, now: Instant) -> bool {
         let freshness = self.freshness();
-        self.hall.senior_suffices(&self.settings.borrow().hall, now, freshness)
+        self.hall.upstream_is_fresh(&self.settings.borrow().hall, now, freshness)
     }
 
     /// Where this VM stands to its limits, as far as it acts on that.
@@ -209,12 +209,12 @@
 
     /// How fit this VM is to lead its hall; 0 while it does not serve, or is near a limit: what a leader
     /// does for a hall takes link and processor.
-    pub fn strength(&self) -> Strength {
+    pub fn leader_score(&self) -> LeaderScore {
         let settings = self.settings.borrow();
-        match self.life.get() {
-            Life::Serving if self.standing() != Standing::Clear => 0.0,
-            Life::Serving => settings.processors * settings.link_mbps,
-            Life::Draining | Life::Stopping => 0.0,
+        match self.lifecycle.get() {
+            LifecycleState::Serving if self.standing() != Standing::Clear => 0.0,
+            LifecycleState::Serving => settings.processors * settings.link_mbps,
+            LifecycleState::Draining | LifecycleState::Stopping => 0.0,
         }
     }
 
@@ -231,14 +231,14 @@
     /// Whether requests that end endpoints are known as far as they can be: a leader told of them, the store was
     /// read, or neither did for so long that requests do not wait any more.
     fn knows_quarantine(&self, now: Instant) -> bool {
-        self.quarantine_is_known.get() || self.age(now) >= FIRST_KNOWLEDGE_WAIT
+        self.quarantine_is_loaded.get() || self.age(now) >= STARTUP_WAIT
     }
 
     /// Whether new work should come to this VM. One that is near a limit leaves it to others, if they suffice.
     pub fn is_ready(&self, now: Instant) -> bool {
-        self.life.get() == Life::Serving
-            && self.knowledge.is_fresh(now)
-            && self.knowledge.knows_endpoints()
+        self.lifecycle.get() == LifecycleState::Serving
+            && self.platform.is_fresh(now)
+            && self.platform.knows_endpoints()
             && self.knows_quarantine(now)
             && (self.standing() == Standing::Clear || !self.hall.others_suffice(now))
     }
@@ -246,7 +246,7 @@
     /// Takes a configuration that was read as of a revision, unless a newer one is in force.
     pub fn offer_catalog(&self, catalog: Catalog, parts: CatalogParts, at: Revision) {
         let (version, services) = (parts.version, parts.services.clone());
-        let is_taken = self.knowledge.offer_catalog(catalog, parts);
+        let is_taken = self.platform.offer_catalog(catalog, parts);
         self.decisions.catalog_read(Some(version), at, is_taken);
         if is_taken {
             self.decisions.figures_unusable(&services);
@@ -256,9 +256,9 @@
     /// The store answered a call that was sent at a moment, as of a revision.
     pub fn on_store_answer(&self, follower: &'static str, sent: Instant, at: Revision) {
         self.metrics.store_era.set(at.era as i64);
-        self.knowledge.on_call_answered(sent);
+        self.platform.on_call_answered(sent);
         if !self.store_reached.replace(true) {
-            self.knowledge.on_store_back(Instant::now());
+            self.platform.on_store_back(Instant::now());
             tracing::info!(follower, "store: Back.");
         }
     }
@@ -270,7 +270,7 @@
             tracing::info!(follower, %error, "store: History gone.");
             return;
         }
-        let is_trouble = self.knowledge.on_call_failed(sent, Instant::now(), error.trouble());
+        let is_trouble = self.platform.on_call_failed(sent, Instant::now(), error.trouble());
         if self.store_reached.replace(false) {
             tracing::warn!(follower, %error, may_lapse = is_trouble, "store: Lost.");
         }
@@ -285,7 +285,7 @@
 
     /// Entries of endpoints are gone.
     pub fn on_removals(&self, removals: &[(EndpointId, Removal)]) {
-        let stamp = self.knowledge.stamp(Instant::now());
+        let stamp = self.platform.stamp(Instant::now());
         for (id, removal) in removals {
             self.unreadable.forget(id);
             self.decisions.endpoint_removed(id, *removal, stamp);
@@ -296,15 +296,15 @@
     }
 
     /// Takes what a leader told of endpoints; with `is_wanted` false only notes that it was told.
-    pub fn on_told_endpoints(
+    pub fn on_reported_endpoints(
         &self,
         replication: &mut Replication,
         at: Revision,
         difference: Difference,
         is_wanted: bool,
     ) {
-        let gone = self.knowledge.take_told(replication, at, difference, is_wanted);
-        self.clear_older_lives();
+        let gone = self.platform.apply_difference(replication, at, difference, is_wanted);
+        self.reset_restarted_endpoints();
         self.log_held_back();
         let removals: Vec<_> = gone.into_iter().map(|id| (id, Removal::Gone)).collect();
         self.on_removals(&removals);
@@ -312,7 +312,7 @@
 
     /// Logs the endpoints whose entries in a restored store are held back.
     pub fn log_held_back(&self) {
-        for endpoint in self.knowledge.take_held_back() {
+        for endpoint in self.platform.take_held_back() {
             self.metrics.held_back.inc();
             tracing::info!(
                 endpoint,
@@ -330,13 +330,13 @@
     /// standing. What began before the endpoint started again tells nothing of it.
     pub fn on_evidence(&self, endpoint: &str, evidence: Evidence, began: Instant, reason: &str) {
         let now = Instant::now();
-        if self.book.renewed_since(endpoint, began) {
+        if self.endpoint_tracker.restarted_since(endpoint, began) {
             return;
         }
-        if !self.book.on_evidence(endpoint, evidence, now) {
+        if !self.endpoint_tracker.on_evidence(endpoint, evidence, now) {
             return;
         }
-        match self.book.is_ejected(endpoint) {
+        match self.endpoint_tracker.is_ejected(endpoint) {
             true => {
                 self.channels.forget(endpoint);
                 tracing::warn!(endpoint, reason, "endpoint: Left alone.");
--- a/crates/sillbank_gateway/src/boards.rs
+++ b/crates/sillbank_gateway/src/hall_reports.rs
@@ -1,6 +1,6 @@
 //! What the leaders of halls tell of their engines, and of what the halls are asked for.
 
-use crate::feed::{EngineState, HallBoard, HallRates};
+use crate::feed::{EngineState, HallRates, HallReport};
 use sillbank_core::prelude::*;
 use sillbank_demand::prelude::*;
 use sillbank_demand::{BELIEVED, MAX_RANKS, MAX_SERVICES};
@@ -15,7 +15,7 @@
 
 /// What a board tells of one engine.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineNews<'a> {
+pub struct ReportedEngine<'a> {
     /// The engine.
     pub state: &'a EngineState,
     /// When it was asked.
@@ -66,24 +66,24 @@
 
 /// Boards of all halls.
 #[derive(Debug, Default)]
-pub struct Boards {
+pub struct HallReports {
     by_hall: RefCell<HashMap<HallId, KeptBoard>>,
     /// Number of the newest that was kept.
     newest: Cell<u64>,
     most_vms: Cell<u32>,
 }
 
-impl Boards {
+impl HallReports {
     /// Keeps a board unless a newer one is known.
-    pub fn keep(&self, now: Instant, board: HallBoard) {
-        let Some(as_of) = now.checked_sub(Duration::from_millis(board.age_ms)) else {
+    pub fn insert(&self, now: Instant, report: HallReport) {
+        let Some(as_of) = now.checked_sub(Duration::from_millis(report.age_ms)) else {
             return;
         };
-        let mut boards = self.by_hall.borrow_mut();
-        let HallBoard { hall, vms, leader, is_whole, engines, demand, .. } = board;
+        let mut reports = self.by_hall.borrow_mut();
+        let HallReport { hall, vms, leader, is_complete, engines, demand, .. } = report;
         let new = || KeptBoard { as_of, vms, leader, engines: BTreeMap::new(), demand: None };
-        let is_known = boards.contains_key(&hall);
-        let kept = boards.entry(hall).or_insert_with(new);
+        let is_known = reports.contains_key(&hall);
+        let kept = reports.entry(hall).or_insert_with(new);
         if is_known && kept.as_of >= as_of {
             return;
         }
@@ -93,7 +93,7 @@
         if let Some(demand) = demand {
             kept.keep_demand(now, demand, number);
         }
-        if is_whole {
+        if is_complete {
             let told: BTreeSet<&EndpointId> = engines.iter().map(|engine| &engine.id).collect();
             kept.engines.retain(|id, _| told.contains(id));
         }
@@ -111,17 +111,17 @@
 
     /// The boards that are believed, with the engines that are newer than a number and their ages of now,
     /// and the number of the newest.
-    pub fn since(&self, number: u64, now: Instant) -> (u64, Vec<HallBoard>) {
-        let boards = self.by_hall.borrow();
-        let live = boards.iter().filter(|(_, kept)| is_believed(kept, now));
+    pub fn since(&self, number: u64, now: Instant) -> (u64, Vec<HallReport>) {
+        let reports = self.by_hall.borrow();
+        let live = reports.iter().filter(|(_, kept)| is_believed(kept, now));
         let news = live.map(|(hall, kept)| {
             let new = kept.engines.values().filter(|engine| engine.number > number);
-            HallBoard {
+            HallReport {
                 hall: hall.clone(),
                 age_ms: now.saturating_duration_since(kept.as_of).as_millis() as u64,
                 vms: kept.vms,
                 leader: kept.leader,
-                is_whole: number == 0,
+                is_complete: number == 0,
                 engines: new.map(|engine| engine.state.clone()).collect(),
                 demand: kept.new_demand(number, now),
             }
@@ -135,17 +135,17 @@
         hall: &str,
         id: &str,
         now: Instant,
-        look: impl FnOnce(EngineNews<'_>) -> T,
+        look: impl FnOnce(ReportedEngine<'_>) -> T,
     ) -> Option<T> {
-        let boards = self.by_hall.borrow();
-        let kept = boards.get(hall).filter(|kept| is_believed(kept, now))?;
+        let reports = self.by_hall.borrow();
+        let kept = reports.get(hall).filter(|kept| is_believed(kept, now))?;
         let engine = kept.engines.get(id)?;
-        Some(look(EngineNews { state: &engine.state, as_of: kept.as_of, vms: kept.vms }))
+        Some(look(ReportedEngine { state: &engine.state, as_of: kept.as_of, vms: kept.vms }))
     }
 
     /// What each hall is asked for of a service, as far as that is believed.
     pub fn demand(&self, service: &str, now: Instant) -> Vec<HallDemand> {
-        let boards = self.by_hall.borrow();
+        let reports = self.by_hall.borrow();
         let of_service = |(hall, kept): (&HallId, &KeptBoard)| {
             let demand = kept.believed_demand(now)?;
             let rates = demand.rates.iter().filter(|rate| rate.service == service);
@@ -156,20 +156,20 @@
                 rates: rates.cloned().collect(),
             })
         };
-        boards.iter().filter_map(of_service).collect()
+        reports.iter().filter_map(of_service).collect()
     }
 
     /// Where the leader of a hall is asked, by its board, if that is believed.
     pub fn leader(&self, hall: &str, now: Instant) -> Option<SocketAddr> {
-        let boards = self.by_hall.borrow();
-        boards.get(hall).filter(|kept| is_believed(kept, now)).map(|kept| kept.leader)
+        let reports = self.by_hall.borrow();
+        reports.get(hall).filter(|kept| is_believed(kept, now)).map(|kept| kept.leader)
     }
 
     /// The most VMs that the leaders of all `halls` have told of at a time; `None` if they have not.
     /// Some may be missing in what is told now, but they go on serving.
     pub fn fleet_vms(&self, halls: &BTreeSet<HallId>, now: Instant) -> Option<u32> {
-        let boards = self.by_hall.borrow();
-        let live = |hall: &HallId| boards.get(hall).filter(|kept| is_believed(kept, now));
+        let reports = self.by_hall.borrow();
+        let live = |hall: &HallId| reports.get(hall).filter(|kept| is_believed(kept, now));
         if !halls.is_empty() && halls.iter().all(|hall| live(hall).is_some()) {
             let vms: u32 = halls.iter().filter_map(live).map(|kept| kept.vms).sum();
             self.most_vms.set(self.most_vms.get().max(vms));
@@ -178,12 +178,12 @@
     }
 
     /// The most VMs of the fleet that leaders have told of at a time; 0 if they have not.
-    pub fn most_fleet_vms(&self) -> u32 {
+    pub fn max_fleet_vms(&self) -> u32 {
         self.most_vms.get()
     }
 
     /// Forgets what was told of the lives of an engine before its newest one.
-    pub fn on_new_life(&self, id: &str, newest_life: Option<BornMs>) {
+    pub fn on_restart(&self, id: &str, newest_life: Option<BornMs>) {
         let is_older = |state: &EngineState| {
             state.id == id && compare_lives(state.born_ms, newest_life) == LifeOrder::Older
         };
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -1,9 +1,9 @@
 //! A request that was admitted, and what is known of its work.
 
 use crate::delivery::Delivery;
-use crate::endpoints::Share;
+use crate::endpoints::RequestPart;
 use crate::forecasts::Foretold;
-use crate::paths::PathAsk;
+use crate::paths::PathRequest;
 use crate::wire::{CallerHead, Sending, Wire};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -192,13 +192,13 @@
     figures: &'a EngineFigures,
     home: &'a str,
     avoid: &'a [EndpointId],
-) -> PathAsk<'a> {
-    PathAsk { service: &job.service, figures, home, avoid, demand: job.demand(figures) }
+) -> PathRequest<'a> {
+    PathRequest { service: &job.service, figures, home, avoid, demand: job.demand(figures) }
 }
 
 /// What a request takes of the engines on its path.
-pub fn shares_of(path: &LayerPath, demand: Demand) -> Vec<Share> {
-    let share = |part: &PathPart| Share {
+pub fn shares_of(path: &LayerPath, demand: Demand) -> Vec<RequestPart> {
+    let share = |part: &PathPart| RequestPart {
         endpoint: part.endpoint.clone(),
         kv: demand.kv_tokens() * part.layers.len() as f64,
     };
--- a/crates/sillbank_gateway/src/ladder_metrics.rs
+++ b/crates/sillbank_gateway/src/ladder_metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of who is let in: what became of requests by rank, and what this VM decided by.
 
-use crate::load::{Believed, NotLetIn};
+use crate::load::{LoadEstimate, NotAdmitted};
 use crate::metrics::FractionGauge;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -47,18 +47,18 @@
     }
 
     /// Counts what became of a request.
-    pub fn on_asked(&self, service: &str, urgency: Urgency, answer: Result<(), NotLetIn>) {
+    pub fn on_asked(&self, service: &str, urgency: Urgency, answer: Result<(), NotAdmitted>) {
         let end = match answer {
             Ok(()) => "let_in",
-            Err(NotLetIn { is_late: false, .. }) => "refused_rank",
-            Err(NotLetIn { is_late: true, .. }) => "refused_late",
+            Err(NotAdmitted { is_late: false, .. }) => "refused_rank",
+            Err(NotAdmitted { is_late: true, .. }) => "refused_late",
         };
         let rank = counted_rank(urgency.organisation);
         self.asked.get_or_create(&AskedLabel { service: service.to_owned(), rank, end }).inc();
     }
 
     /// Shows what this VM decides by.
-    pub fn show(&self, service: &str, believed: Believed) {
+    pub fn show(&self, service: &str, believed: LoadEstimate) {
         let label = ServiceLabel { service: service.to_owned() };
         self.fullness.get_or_create(&label).set(believed.fullness);
         self.share.get_or_create(&label).set(believed.share);
--- a/crates/sillbank_gateway/src/lib.rs
+++ b/crates/sillbank_gateway/src/lib.rs
@@ -3,8 +3,8 @@
 //! All that is decided here is decided in the project's own words. What a platform calls things is
 //! translated by an adapter that implements [`wire::Wire`] and [`store::MetadataStore`].
 //!
-//! - [`callers`] admits a request; [`calls`] and [`streams`] carry it out; [`call_book`] keeps how long calls took.
-//! - [`knowledge`] holds what is believed of the platform, [`follow`] keeps it up to date.
+//! - [`callers`] admits a request; [`calls`] and [`streams`] carry it out; [`call_tracker`] keeps how long calls took.
+//! - [`platform`] holds what is believed of the platform, [`follow`] keeps it up to date.
 //! - [`lives`] ends what is kept of endpoints that start again, [`unreadable`] tells of entries that name none.
 //! - [`endpoints`] holds what was seen of endpoints, [`doctor`] asks them; [`paths`] chooses among
 //!   engines by the model of `sillbank_engines`.
@@ -26,8 +26,7 @@
 
 pub mod answers;
 pub mod backoff;
-pub mod boards;
-pub mod call_book;
+pub mod call_tracker;
 pub mod callers;
 pub mod calls;
 pub mod channels;
@@ -45,23 +44,24 @@
 pub mod freshness;
 pub mod gateway;
 pub mod hall;
+pub mod hall_reports;
 pub mod job;
-pub mod knowledge;
 pub mod ladder_metrics;
 pub mod lifecycle;
 pub mod limit_parts;
-pub mod lives;
 pub mod load;
 pub mod mechanisms;
 pub mod metrics;
 pub mod operate;
 pub mod paths;
 pub mod placement;
+pub mod platform_view;
 pub mod plugins;
 pub mod pushback;
 pub mod quarantine;
 pub mod quarantine_store;
 pub mod repeats;
+pub mod restarts;
 pub mod revision;
 pub mod sending;
 pub mod settings;
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Start, stop and reload.
 
-use crate::gateway::{Gateway, Life};
+use crate::gateway::{Gateway, LifecycleState};
 use crate::settings::{self, GatewaySettings};
 use crate::store::MetadataStore;
 use crate::wire::Wire;
@@ -36,10 +36,10 @@
         grace_ms = grace.as_millis() as u64,
         "program: Stopping."
     );
-    gateway.life.set(Life::Draining);
+    gateway.lifecycle.set(LifecycleState::Draining);
     stopper.stop();
     smol::Timer::after(BALANCER_LAG.min(grace)).await;
-    gateway.life.set(Life::Stopping);
+    gateway.lifecycle.set(LifecycleState::Stopping);
     while asked.elapsed() < grace && gateway.in_progress.get() > 0 {
         smol::Timer::after(STOP_POLL).await;
     }
@@ -104,7 +104,7 @@
     if fixed != (&new.vm, &new.hall, new.callers_listen, new.ready_listen, new.store) {
         tracing::warn!("program: Names and addresses change only with a new start.");
     }
-    gateway.knowledge.set_key_revocation(new.key_revocation);
+    gateway.platform.set_key_revocation(new.key_revocation);
     gateway.kept.set_bound(new.kept_bound_bytes());
     *gateway.settings.borrow_mut() = Rc::new(new);
 }
@@ -113,19 +113,19 @@
 pub async fn sweep<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
         let next = Instant::now() + SWEEP;
-        let lapse_end = gateway.knowledge.next_lapse_end();
+        let lapse_end = gateway.platform.next_eviction();
         smol::Timer::at(lapse_end.map_or(next, |end| end.min(next))).await;
         let now = Instant::now();
         gateway.channels.sweep(now);
-        for id in gateway.knowledge.on_time(now) {
+        for id in gateway.platform.on_time(now) {
             tracing::info!(endpoint = id, "endpoint: Did not come back after the outage.");
             gateway.channels.forget(&id);
         }
-        gateway.knowledge.endpoints(|directory| {
-            gateway.book.retain(|id| directory.get(id).is_some());
+        gateway.platform.endpoints(|directory| {
+            gateway.endpoint_tracker.retain(|id| directory.get(id).is_some());
             gateway.ends.retain(|id| directory.get(id).is_some());
-            gateway.call_book.retain(|id| directory.get(id).is_some());
-            gateway.hall.boards.retain(|id| directory.get(id).is_some());
+            gateway.call_tracker.retain(|id| directory.get(id).is_some());
+            gateway.hall.reports.retain(|id| directory.get(id).is_some());
         });
     }
 }
--- a/crates/sillbank_gateway/src/limit_parts.rs
+++ b/crates/sillbank_gateway/src/limit_parts.rs
@@ -3,7 +3,7 @@
 //! The leader of an endpoint's hall divides its limit among the VMs of that hall and the leaders of others; these divide
 //! their part among their VMs. Who wants to send says so with its asks, and gets its part with the answer.
 
-use crate::feed::FeedAsk;
+use crate::feed::FeedRequest;
 use crate::gateway::Gateway;
 use crate::wire::Wire;
 use sillbank_core::prelude::*;
@@ -34,7 +34,7 @@
     /// Begins to divide when this VM begins to tell its hall, and ends with that.
     pub fn keep_divider(&self, now: Instant) {
         let mut divider = self.limit_parts.divider.borrow_mut();
-        if self.hall.tells.get().is_none() {
+        if self.hall.acting_fence.get().is_none() {
             divider.end();
             self.limit_parts.of_hall.borrow_mut().clear();
             return;
@@ -47,7 +47,7 @@
     }
 
     fn hall_of(&self, endpoint: &str) -> Option<HallId> {
-        self.knowledge.endpoints(|directory| Some(directory.get(endpoint)?.hall.clone()))
+        self.platform.endpoints(|directory| Some(directory.get(endpoint)?.hall.clone()))
     }
 
     /// What this VM has to divide of an endpoint's limit while it leads.
@@ -61,7 +61,7 @@
     }
 
     /// Who asks; `None` if it asks for what another leader divides.
-    fn asker(&self, ask: &FeedAsk, endpoint: &str) -> Option<Asker> {
+    fn asker(&self, ask: &FeedRequest, endpoint: &str) -> Option<Asker> {
         let own = self.settings.borrow().hall.clone();
         if ask.hall == own {
             return Some(Asker::Vm(ask.vm.clone()));
@@ -70,7 +70,7 @@
     }
 
     /// Whether an ask wants a part that it can be given and has not been given yet.
-    pub fn owes_part(&self, ask: &FeedAsk, now: Instant) -> bool {
+    pub fn owes_part(&self, ask: &FeedRequest, now: Instant) -> bool {
         let divider = self.limit_parts.divider.borrow();
         divider.divides(now)
             && ask.wants.iter().any(|want| {
@@ -82,8 +82,8 @@
     }
 
     /// Notes what an ask wants, and answers the parts that it gets.
-    pub fn give_parts(&self, ask: &FeedAsk, now: Instant) -> Vec<PartNews> {
-        if self.hall.tells.get().is_none() {
+    pub fn give_parts(&self, ask: &FeedRequest, now: Instant) -> Vec<PartNews> {
+        if self.hall.acting_fence.get().is_none() {
             return Vec::new();
         }
         let give = |want: &Want| {
@@ -115,7 +115,7 @@
 
     /// While this VM leads it takes its own parts as it gives others theirs.
     pub(crate) fn take_own_parts(&self, now: Instant) {
-        if self.hall.tells.get().is_none() {
+        if self.hall.acting_fence.get().is_none() {
             return;
         }
         let asker = Asker::Vm(self.settings.borrow().vm.clone());
@@ -146,7 +146,7 @@
 
     /// Takes the parts that a leader gave with an answer that was made at `given_at` or later.
     pub fn take_parts(&self, parts: &[PartNews], from: &PartsFrom, given_at: Instant) {
-        if parts.is_empty() || self.knowledge.was_suspended_since(given_at) {
+        if parts.is_empty() || self.platform.was_suspended_since(given_at) {
             return;
         }
         for news in parts {
@@ -173,7 +173,7 @@
         }
         if matches!(from, PartsFrom::Hall(_)) {
             self.take_own_parts(Instant::now());
-            self.hall.wake_askers();
+            self.hall.wake_followers();
         }
     }
 }
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -3,10 +3,10 @@
 //! Each VM sums up what leaders tell of engines and asks the ladder of the service. Where nothing is told any
 //! more, it goes by what engines refuse to it.
 
-use crate::boards::EngineNews;
 use crate::feed::EngineState;
-use crate::lives::may_be_current;
-use crate::paths::Views;
+use crate::hall_reports::ReportedEngine;
+use crate::paths::RoutingContext;
+use crate::restarts::may_be_current;
 use sillbank_admission::evidence::RefusalShare;
 use sillbank_admission::ladder::{Ladder, Rung, Urgency};
 use sillbank_admission::level::Level;
@@ -32,7 +32,7 @@
 
 /// A request that asks to be let in.
 #[derive(Debug, Clone, Copy)]
-pub struct LoadAsk<'a> {
+pub struct AdmissionRequest<'a> {
     /// Service.
     pub service: &'a Service,
     /// Its figures.
@@ -49,7 +49,7 @@
 
 /// Why a request is not let in.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct NotLetIn {
+pub struct NotAdmitted {
     /// Taken part of the engines.
     pub fullness: f64,
     /// Whether it came too late to be answered in time.
@@ -58,7 +58,7 @@
 
 /// What a VM decides by for one service, as of its last request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Believed {
+pub struct LoadEstimate {
     /// Taken part of the engines, from 0 to 1.
     pub fullness: f64,
     /// Share of all requests that is let in, from 0 to 1.
@@ -90,27 +90,31 @@
     ///
     /// # Errors
     /// What the request is not let in for.
-    pub fn admit(&self, views: Views<'_>, ask: LoadAsk<'_>) -> Result<(), NotLetIn> {
+    pub fn admit(
+        &self,
+        context: RoutingContext<'_>,
+        ask: AdmissionRequest<'_>,
+    ) -> Result<(), NotAdmitted> {
         let mut services = self.services.borrow_mut();
         let load = services.entry(ask.service.name.clone()).or_default();
-        let fullness = load.fullness(views, ask);
-        let is_late = self.is_late(ask, load.is_calm(views.now));
+        let fullness = load.fullness(context, ask);
+        let is_late = self.is_late(ask, load.is_calm(context.now));
         let rung = Rung { is_late, urgency: ask.urgency };
-        load.ladder.on_asked(views.now, rung);
+        load.ladder.on_asked(context.now, rung);
         let share = load.ladder.share(rung, load.level.share());
-        load.log(views.now, &ask.service.name, fullness);
+        load.log(context.now, &ask.service.name, fullness);
         match share >= 1.0 || ask.draw < share {
             true => Ok(()),
-            false => Err(NotLetIn { fullness, is_late: rung.is_late }),
+            false => Err(NotAdmitted { fullness, is_late: rung.is_late }),
         }
     }
 
     /// What this VM decides by for a service; `None` before its first request.
-    pub fn believed(&self, service: &str) -> Option<Believed> {
+    pub fn estimate(&self, service: &str) -> Option<LoadEstimate> {
         let services = self.services.borrow();
         let load = services.get(service)?;
         let (_, fullness) = load.summed?;
-        Some(Believed { fullness, share: load.level.share() })
+        Some(LoadEstimate { fullness, share: load.level.share() })
     }
 
     /// An engine of a service took a request, or refused it for want of room.
@@ -126,7 +130,7 @@
     }
 
     /// Whether the caller has waited for longer than the time in which an answer is worth most.
-    fn is_late(&self, ask: LoadAsk<'_>, is_calm: bool) -> bool {
+    fn is_late(&self, ask: AdmissionRequest<'_>, is_calm: bool) -> bool {
         let Some(left) = ask.left else {
             return false;
         };
@@ -144,14 +148,14 @@
 
 impl ServiceLoad {
     /// Taken part of the engines: as leaders tell, else by what engines refused to this VM.
-    fn fullness(&mut self, views: Views<'_>, ask: LoadAsk<'_>) -> f64 {
-        let now = views.now;
+    fn fullness(&mut self, context: RoutingContext<'_>, ask: AdmissionRequest<'_>) -> f64 {
+        let now = context.now;
         if let Some((at, fullness)) = self.summed
             && now.saturating_duration_since(at) < FULLNESS_INTERVAL
         {
             return fullness;
         }
-        let told = fleet_room(views, ask.service, ask.figures).fullness();
+        let told = fleet_capacity(context, ask.service, ask.figures).fullness();
         let fullness = told.unwrap_or_else(|| self.refusals.fullness(now));
         self.level.on_fullness(now, fullness);
         if self.level.share() < 1.0 {
@@ -181,12 +185,16 @@
 }
 
 /// Room of all halls whose leaders tell of their engines.
-pub fn fleet_room(views: Views<'_>, service: &Service, figures: &EngineFigures) -> HallRoom {
+pub fn fleet_capacity(
+    context: RoutingContext<'_>,
+    service: &Service,
+    figures: &EngineFigures,
+) -> HallRoom {
     let mut by_hall: BTreeMap<HallId, Vec<EngineRoom>> = BTreeMap::new();
-    views.knowledge.endpoints(|directory| {
+    context.platform.endpoints(|directory| {
         for record in directory.usable_of(&service.name) {
             let newest_life = directory.newest_life(&record.id);
-            if let Some(room) = engine_room(views, record, newest_life, figures) {
+            if let Some(room) = engine_room(context, record, newest_life, figures) {
                 by_hall.entry(record.hall.clone()).or_default().push(room);
             }
         }
@@ -197,20 +205,20 @@
 
 /// Room of an engine; `None` if its leader does not tell of it, or of an older life, or it cannot be used.
 fn engine_room(
-    views: Views<'_>,
+    context: RoutingContext<'_>,
     record: &EndpointRecord,
     newest_life: Option<BornMs>,
     figures: &EngineFigures,
 ) -> Option<EngineRoom> {
-    if !views.book.may_run_part(&record.id) {
+    if !context.endpoint_tracker.may_join_path(&record.id) {
         return None;
     }
     let kind = figures.accelerator(record.accelerator.as_deref()?)?;
-    let read = |news: EngineNews<'_>| {
+    let read = |news: ReportedEngine<'_>| {
         let is_of_this_life = may_be_current(news.state.born_ms, newest_life);
         is_of_this_life.then(|| room_of(news.state, figures, kind)).flatten()
     };
-    views.hall.boards.engine(&record.hall, &record.id, views.now, read)?
+    context.hall.reports.engine(&record.hall, &record.id, context.now, read)?
 }
 
 fn room_of(
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -1,11 +1,11 @@
 //! Chooses a path through the layers that endpoints hold.
 
-use crate::boards::EngineNews;
-use crate::endpoints::EndpointBook;
+use crate::endpoints::EndpointTracker;
 use crate::hall::Hall;
-use crate::knowledge::Knowledge;
-use crate::lives::may_be_current;
+use crate::hall_reports::ReportedEngine;
 use crate::mechanisms::Mechanisms;
+use crate::platform_view::PlatformView;
+use crate::restarts::may_be_current;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -59,7 +59,7 @@
 
 /// What a path is chosen for.
 #[derive(Debug, Clone, Copy)]
-pub struct PathAsk<'a> {
+pub struct PathRequest<'a> {
     /// Service.
     pub service: &'a Service,
     /// Its figures.
@@ -74,30 +74,30 @@
 
 /// The cheapest path on which every engine has room for the request; engines that are left alone at
 /// the moment are not used.
-pub fn choose_path(views: Views<'_>, ask: PathAsk<'_>) -> Option<LayerPath> {
-    let fits = |candidate: &Candidate| !views.mechanisms.room || candidate.fits(ask.demand);
-    choose(views, ask, |candidate| fits(candidate) && views.may_begin_at(candidate))
+pub fn choose_path(context: RoutingContext<'_>, ask: PathRequest<'_>) -> Option<LayerPath> {
+    let fits = |candidate: &Candidate| !context.mechanisms.room || candidate.fits(ask.demand);
+    choose(context, ask, |candidate| fits(candidate) && context.may_begin_at(candidate))
 }
 
 /// The cheapest path, whether or not its engines have room.
-pub fn choose_any_path(views: Views<'_>, ask: PathAsk<'_>) -> Option<LayerPath> {
-    choose(views, ask, |candidate| views.may_begin_at(candidate))
+pub fn choose_any_path(context: RoutingContext<'_>, ask: PathRequest<'_>) -> Option<LayerPath> {
+    choose(context, ask, |candidate| context.may_begin_at(candidate))
 }
 
 /// Whether there is a path if nothing that endpoints asked of VMs is kept.
-pub fn has_withheld_path(views: Views<'_>, ask: PathAsk<'_>) -> bool {
-    choose(views, ask, |_| true).is_some()
+pub fn has_path_despite_pushback(context: RoutingContext<'_>, ask: PathRequest<'_>) -> bool {
+    choose(context, ask, |_| true).is_some()
 }
 
 /// Looks at home first: the work grows with the engines that are looked at, and while those at home have
 /// time to spare no path through others can cost less.
 fn choose(
-    views: Views<'_>,
-    ask: PathAsk<'_>,
+    context: RoutingContext<'_>,
+    ask: PathRequest<'_>,
     fits: impl Fn(&Candidate) -> bool,
 ) -> Option<LayerPath> {
     let holders_in = |halls| {
-        let candidates = candidates(views, ask, halls).into_iter().filter(&fits);
+        let candidates = candidates(context, ask, halls).into_iter().filter(&fits);
         candidates.map(|candidate| candidate.holder)
     };
     let find = |holders: &[Holder]| find_path(holders, ask.figures.layers, ask.home, CROSSING);
@@ -141,26 +141,26 @@
 
 /// A path in use with its lost part run by others. Few requests need one at a time, so handing
 /// activations over to another hall costs little here.
-pub fn choose_mended_path(
-    views: Views<'_>,
-    ask: PathAsk<'_>,
+pub fn choose_repaired_path(
+    context: RoutingContext<'_>,
+    ask: PathRequest<'_>,
     path: &LayerPath,
     lost: &str,
 ) -> Option<LayerPath> {
     let holders: Vec<Holder> =
-        candidates(views, ask, Halls::All).into_iter().map(|found| found.holder).collect();
+        candidates(context, ask, Halls::All).into_iter().map(|found| found.holder).collect();
     mend_path(path, lost, &holders, ask.figures.layers, ask.home, MENDING)
 }
 
 /// What paths are chosen from.
 #[derive(Debug, Clone, Copy)]
-pub struct Views<'a> {
+pub struct RoutingContext<'a> {
     /// Endpoints as listed.
-    pub knowledge: &'a Knowledge,
+    pub platform: &'a PlatformView,
     /// Engines as leaders tell of them.
     pub hall: &'a Hall,
     /// Endpoints as seen.
-    pub book: &'a EndpointBook,
+    pub endpoint_tracker: &'a EndpointTracker,
     /// What endpoints asked of VMs.
     pub pushback: &'a RefCell<PushbackBook>,
     /// Which mechanisms are on.
@@ -172,8 +172,8 @@
 }
 
 /// Engines at which paths can begin, also those that this request has tried, in an order that is the same at all VMs.
-pub fn first_engines(views: Views<'_>, ask: PathAsk<'_>) -> Vec<EndpointId> {
-    let all = candidates(views, PathAsk { avoid: &[], ..ask }, Halls::All)
+pub fn first_engines(context: RoutingContext<'_>, ask: PathRequest<'_>) -> Vec<EndpointId> {
+    let all = candidates(context, PathRequest { avoid: &[], ..ask }, Halls::All)
         .into_iter()
         .map(|candidate| candidate.holder);
     let firsts = all.filter(|holder| holder.layers.first == 0);
@@ -184,7 +184,10 @@
 
 /// Which first engine is risked for a request that may be what ends engines: one, the same at all VMs, so that the others
 /// go on; none if there is only one, or all were tried.
-pub fn risked_engine<'a>(firsts: &'a [EndpointId], tried: &[EndpointId]) -> Option<&'a EndpointId> {
+pub fn isolation_engine<'a>(
+    firsts: &'a [EndpointId],
+    tried: &[EndpointId],
+) -> Option<&'a EndpointId> {
     let is_only_one = firsts.len() <= 1;
     firsts.iter().find(|first| !is_only_one && !tried.contains(first))
 }
@@ -194,14 +197,14 @@
 /// Shares that are left to VMs of which leaders have not told yet.
 const SPARE_SHARES: u32 = 1;
 
-impl Views<'_> {
+impl RoutingContext<'_> {
     /// Whether what an endpoint asked of VMs lets a request be sent to it.
     pub fn may_send(&self, endpoint: &str) -> bool {
         let mut pushback = self.pushback.borrow_mut();
         if !self.mechanisms.pushback || pushback.is_empty() {
             return true;
         }
-        let vms = match self.hall.boards.most_fleet_vms() {
+        let vms = match self.hall.reports.max_fleet_vms() {
             0 => ASSUMED_VMS,
             told => told,
         };
@@ -233,30 +236,33 @@
 }
 
 /// Engines that may be part of a path, with their costs.
-fn candidates(views: Views<'_>, ask: PathAsk<'_>, halls: Halls) -> Vec<Candidate> {
-    views.knowledge.endpoints(|directory| {
+fn candidates(context: RoutingContext<'_>, ask: PathRequest<'_>, halls: Halls) -> Vec<Candidate> {
+    context.platform.endpoints(|directory| {
         directory
             .usable_of(&ask.service.name)
             .filter(|record| halls.includes(&record.hall, ask.home))
-            .filter(|record| !ask.avoid.contains(&record.id) && views.book.may_run_part(&record.id))
-            .filter_map(|record| candidate(views, ask, record, directory.newest_life(&record.id)))
+            .filter(|record| {
+                !ask.avoid.contains(&record.id)
+                    && context.endpoint_tracker.may_join_path(&record.id)
+            })
+            .filter_map(|record| candidate(context, ask, record, directory.newest_life(&record.id)))
             .collect()
     })
 }
 
 /// An engine with its costs; `None` if it holds no layers. What was told of an older life is not believed.
 fn candidate(
-    views: Views<'_>,
-    ask: PathAsk<'_>,
+    context: RoutingContext<'_>,
+    ask: PathRequest<'_>,
     record: &EndpointRecord,
     newest_life: Option<BornMs>,
 ) -> Option<Candidate> {
-    let Views { hall, book, mechanisms, chance, now, .. } = views;
+    let RoutingContext { hall, endpoint_tracker, mechanisms, chance, now, .. } = context;
     let figures = ask.figures;
-    let read = |news: EngineNews<'_>| {
+    let read = |news: ReportedEngine<'_>| {
         may_be_current(news.state.born_ms, newest_life).then(|| Told::new(news, figures))
     };
-    let told = hall.boards.engine(&record.hall, &record.id, now, read).flatten();
+    let told = hall.reports.engine(&record.hall, &record.id, now, read).flatten();
     // What the hall's leader heard from the engine is newer than its entry in the store.
     let layers = told.as_ref().map_or(record.layers, |told| told.layers);
     // Layers that the model does not have are told by an engine that is not to be believed.
@@ -265,10 +271,10 @@
     let told = told.unwrap_or_default();
     let kind = record.accelerator.as_deref().and_then(|kind| figures.accelerator(kind));
     let factor = kind.map_or(1.0, |kind| kind.step_factor);
-    let busy = 1.0 + f64::from(book.in_flight(&record.id)) / DOUBLING_REQUESTS;
+    let busy = 1.0 + f64::from(endpoint_tracker.in_flight(&record.id)) / DOUBLING_REQUESTS;
     let layer_ms = figures.step_ms / f64::from(figures.layers.max(1));
     let drawn = 1.0 + CHANCE * chance.fraction();
-    let unseen = unseen(views, ask, record, &told);
+    let unseen = unseen(context, ask, record, &told);
     let capacity = kind.and_then(|kind| kv_capacity(figures, kind, layers.len()));
     let room = capacity.map(|capacity| KvRoom::new(capacity, told.kv_share, unseen.kv));
     let places_share = match layers.first {
@@ -283,7 +289,7 @@
     let taken_share = kv_share.max(places_share).max(time);
     let crowd_ms = if mechanisms.crowd_cost { crowd_cost_ms(taken_share) } else { 0.0 };
     let health_ms = match mechanisms.health_cost {
-        true => book.use_cost_ms(&record.id, now),
+        true => endpoint_tracker.use_cost_ms(&record.id, now),
         false => 0.0,
     };
     let holder = Holder {
@@ -298,17 +304,22 @@
 }
 
 /// What an engine was sent since the state that it reported, by all VMs.
-fn unseen(views: Views<'_>, ask: PathAsk<'_>, record: &EndpointRecord, told: &Told) -> Unseen {
-    let reported_at = told.reported_at.unwrap_or(views.now);
-    if !views.mechanisms.unseen_sends {
+fn unseen(
+    context: RoutingContext<'_>,
+    ask: PathRequest<'_>,
+    record: &EndpointRecord,
+    told: &Told,
+) -> Unseen {
+    let reported_at = told.reported_at.unwrap_or(context.now);
+    if !context.mechanisms.unseen_sends {
         return Unseen::default();
     }
-    let own = views.book.sent_since(&record.id, reported_at);
+    let own = context.endpoint_tracker.sent_since(&record.id, reported_at);
     // Like VMs get like shares of callers and choose by the same reports: those of this hall at its
     // engines, and those of all other halls at the engines of a hall that has room left.
     let senders = match record.hall == ask.home {
         true => told.vms,
-        false => views.hall.boards.most_fleet_vms().saturating_sub(told.vms),
+        false => context.hall.reports.max_fleet_vms().saturating_sub(told.vms),
     };
     own.times(f64::from(senders.max(1)))
 }
@@ -337,7 +348,7 @@
 }
 
 impl Told {
-    fn new(news: EngineNews<'_>, figures: &EngineFigures) -> Self {
+    fn new(news: ReportedEngine<'_>, figures: &EngineFigures) -> Self {
         let engine = news.state;
         let lag_s = figures.report_lag_ms.clamp(0.0, MAX_REPORT_LAG.as_millis() as f64) / 1000.0;
         let lag = Duration::from_secs_f64(lag_s);
--- a/crates/sillbank_gateway/src/placement/leadership.rs
+++ b/crates/sillbank_gateway/src/placement/leadership.rs
@@ -1,7 +1,7 @@
 //! The lease of a hall: who places layers and tells the others.
 
-use crate::gateway::{Gateway, Life};
-use crate::hall::Strength;
+use crate::gateway::{Gateway, LifecycleState};
+use crate::hall::LeaderScore;
 use crate::revision::{Era, Revision};
 use crate::store::MetadataStore;
 use crate::wire::Wire;
@@ -23,7 +23,7 @@
 const NAMED_LEADER_WAIT: Duration = Duration::from_millis(500);
 /// How many times stronger another VM must be that this one hands the lease over to. Less than that is
 /// not worth the moment in which engines are asked anew.
-const MUCH_STRONGER: Strength = 2.0;
+const MUCH_STRONGER: LeaderScore = 2.0;
 /// How long a VM leads before it hands the lease over to a stronger one: by then all VMs of its hall ask it.
 const LED_FOR: Duration = Duration::from_millis(1_500);
 /// VMs of a hall read a lease that has lapsed one after the other, so that the first of them takes it and
@@ -89,7 +89,7 @@
     pub(super) async fn keep(&mut self) {
         let now = Instant::now();
         self.note_era();
-        if self.gateway.life.get() != Life::Serving {
+        if self.gateway.lifecycle.get() != LifecycleState::Serving {
             self.give_up().await;
             return;
         }
@@ -144,9 +144,9 @@
     async fn read(&mut self) -> Option<LeaseWrite<Revision>> {
         self.handed_to = None;
         let hall = &self.gateway.hall;
-        let turns = (TURN_OF_VM * hall.most_hall_vms()).max(LEAST_TURNS);
+        let turns = (TURN_OF_VM * hall.max_hall_vms()).max(LEAST_TURNS);
         // A VM that is not fit to lead comes after all others.
-        let before = if self.gateway.strength() > 0.0 { Duration::ZERO } else { turns };
+        let before = if self.gateway.leader_score() > 0.0 { Duration::ZERO } else { turns };
         self.turn = before + turns.mul_f64(self.chance.fraction());
         match self.gateway.store.read_lease(&self.name).await {
             Ok(read) => {
@@ -164,9 +164,9 @@
 
     fn pause_after_failure(&self) -> Duration {
         let hall = &self.gateway.hall;
-        match hall.tells.get() {
+        match hall.acting_fence.get() {
             Some(_) => LEASE_READ_INTERVAL,
-            None => FAILED_READ_PAUSE * hall.crowd_factor(),
+            None => FAILED_READ_PAUSE * hall.hall_size_factor(),
         }
     }
 
@@ -181,7 +181,7 @@
         if hall.leader_holds_lease(now) || store_is_away || now < self.read_from {
             return false;
         }
-        if hall.tells.get().is_some() {
+        if hall.acting_fence.get().is_some() {
             return true;
         }
         self.lease.lapses_at().is_none_or(|lapses_at| now >= lapses_at + self.turn)
@@ -194,7 +194,7 @@
         if now.saturating_duration_since(since) < LED_FOR {
             return None;
         }
-        self.gateway.hall.strongest_asker(now, self.gateway.strength() * MUCH_STRONGER)
+        self.gateway.hall.best_follower(now, self.gateway.leader_score() * MUCH_STRONGER)
     }
 
     async fn hand_over(&mut self, vm: VmId, peer: SocketAddr) {
@@ -207,12 +207,12 @@
         }
         tracing::info!(lease = self.name, to = vm, ?end, "lease: Handed over.");
         self.note();
-        self.gateway.hall.wake_askers();
+        self.gateway.hall.wake_followers();
     }
 
     /// Ends the lease of a VM that stops, so that another takes it at once.
     async fn give_up(&mut self) {
-        if let Some((vm, peer)) = self.gateway.hall.strongest_asker(Instant::now(), 0.0)
+        if let Some((vm, peer)) = self.gateway.hall.best_follower(Instant::now(), 0.0)
             && self.is_held()
         {
             self.hand_over(vm, peer).await;
@@ -235,11 +235,13 @@
         let by_lease = self.lease.holder().map(|record| record.peer).or(self.named);
         let leader = by_word.or(by_lease);
         hall.leader.set(leader.filter(|leader| *leader != own));
-        let held_before = hall.leads.replace(fence).is_some();
+        let held_before = hall.lease_fence.replace(fence).is_some();
         let other_leads = hall.leader.get().is_some();
         match fence {
-            Some(fence) => hall.tells.set(Some(fence)),
-            None if other_leads || self.gateway.life.get() != Life::Serving => hall.tells.set(None),
+            Some(fence) => hall.acting_fence.set(Some(fence)),
+            None if other_leads || self.gateway.lifecycle.get() != LifecycleState::Serving => {
+                hall.acting_fence.set(None)
+            }
             None => {}
         }
         if held_before != fence.is_some() {
--- a/crates/sillbank_gateway/src/placement/mod.rs
+++ b/crates/sillbank_gateway/src/placement/mod.rs
@@ -5,10 +5,10 @@
 mod targets;
 
 pub use leadership::lease_name;
-pub use reports::{KnownEngine, ReportOutcome, ReportRounds};
-pub use targets::{Chains, EngineView, Target, first_targets, mended_targets};
+pub use reports::{ReportOutcome, ReportSchedule, TrackedEngine};
+pub use targets::{Chains, EngineView, Target, initial_targets, repair_targets};
 
-use crate::feed::{EngineState, HallBoard, NEARLY_FULL_PERMILLE};
+use crate::feed::{EngineState, HallReport, NEARLY_FULL_PERMILLE};
 use crate::gateway::Gateway;
 use crate::metrics::KindLabel;
 use crate::store::MetadataStore;
@@ -44,8 +44,8 @@
 struct Placement<W: Wire, S: MetadataStore> {
     gateway: Rc<Gateway<W, S>>,
     leadership: Leadership<W, S>,
-    known: HashMap<EndpointId, KnownEngine>,
-    rounds: ReportRounds,
+    known: HashMap<EndpointId, TrackedEngine>,
+    rounds: ReportSchedule,
     members: (Vec<EndpointId>, Instant),
     chains: BTreeMap<ServiceId, Chains>,
 }
@@ -55,14 +55,14 @@
     let mut placement = Placement {
         leadership: Leadership::new(&gateway),
         known: HashMap::new(),
-        rounds: ReportRounds::default(),
+        rounds: ReportSchedule::default(),
         members: (Vec::new(), Instant::now()),
         chains: BTreeMap::new(),
         gateway,
     };
     loop {
         placement.leadership.keep().await;
-        if placement.gateway.hall.tells.get().is_some() {
+        if placement.gateway.hall.acting_fence.get().is_some() {
             placement.place().await;
         } else {
             // Another leads meanwhile: what was known may be out of date.
@@ -75,34 +75,34 @@
 
 impl<W: Wire, S: MetadataStore> Placement<W, S> {
     /// Tells what is known of the hall's engines.
-    fn post_board(&self) {
+    fn publish_report(&self) {
         let settings = self.gateway.settings();
         let now = Instant::now();
         let engines = self.known.iter().map(|(id, known)| {
             EngineState::new(id.clone(), known.newest_life(), known.report.as_ref())
         });
-        let vms = self.gateway.hall.vms(now);
-        self.gateway.hall.note_hall_vms(vms);
-        let board = HallBoard {
+        let vms = self.gateway.hall.live_vms(now);
+        self.gateway.hall.record_hall_vms(vms);
+        let board = HallReport {
             hall: settings.hall.clone(),
             age_ms: 0,
             vms,
             leader: settings.peer_listen,
-            is_whole: true,
+            is_complete: true,
             engines: engines.collect(),
             demand: self.gateway.hall_demand(now),
         };
-        self.gateway.hear_lives(&board);
+        self.gateway.on_reported_incarnations(&board);
         match settings.mechanisms.prompt_news {
-            true => self.gateway.hall.post_board(now, board),
-            false => self.gateway.hall.boards.keep(now, board),
+            true => self.gateway.hall.publish_report(now, board),
+            false => self.gateway.hall.reports.insert(now, board),
         }
     }
 
     /// Asks the hall's engines and tells of them, also while the store is away and nobody can hold the
     /// lease; gives orders only under the lease.
     async fn place(&mut self) {
-        let Some(catalog) = self.gateway.knowledge.catalog() else {
+        let Some(catalog) = self.gateway.platform.catalog() else {
             return;
         };
         let services: Vec<Rc<Service>> =
@@ -122,14 +122,14 @@
                 self.place_service(&service.name, figures).await;
             }
         }
-        self.rounds.on_begun(now, has_engines);
-        self.post_board();
+        self.rounds.on_round_started(now, has_engines);
+        self.publish_report();
     }
 
     /// Whether engines of these services are listed in this hall.
     fn has_engines_of(&self, services: &[Rc<Service>]) -> bool {
         let hall = &self.gateway.settings().hall;
-        self.gateway.knowledge.endpoints(|directory| {
+        self.gateway.platform.endpoints(|directory| {
             let mut of_all = services.iter().flat_map(|service| directory.usable_of(&service.name));
             of_all.any(|record| record.hall == *hall)
         })
@@ -145,14 +145,16 @@
 
     /// Whether this VM's own exchanges found an engine lost that still counts as well.
     fn has_new_suspect(&self) -> bool {
-        let counts = |known: &KnownEngine| known.report.is_some();
-        self.known.iter().any(|(id, known)| counts(known) && self.gateway.book.is_ejected(id))
+        let counts = |known: &TrackedEngine| known.report.is_some();
+        self.known
+            .iter()
+            .any(|(id, known)| counts(known) && self.gateway.endpoint_tracker.is_ejected(id))
     }
 
     async fn place_service(&mut self, service: &str, figures: &EngineFigures) {
         let hall = self.gateway.settings().hall.clone();
         let engines: BTreeMap<EndpointId, EndpointRecord> =
-            self.gateway.knowledge.endpoints(|directory| {
+            self.gateway.platform.endpoints(|directory| {
                 let in_hall = directory.usable_of(service).filter(|record| record.hall == hall);
                 in_hall.map(|record| (record.id.clone(), record.clone())).collect()
             });
@@ -181,9 +183,9 @@
         let targets = match is_first {
             true => {
                 let in_pairs = self.gateway.settings().mechanisms.pairs;
-                first_targets(&views, figures, chains, in_pairs)
+                initial_targets(&views, figures, chains, in_pairs)
             }
-            false => mended_targets(&views, figures, chains, load),
+            false => repair_targets(&views, figures, chains, load),
         };
         let Some(targets) = targets else {
             tracing::warn!(service, hall, engines = alive.len(), "plan: The layers do not fit.");
@@ -226,7 +228,7 @@
     async fn ask_all(&mut self, engines: &BTreeMap<EndpointId, EndpointRecord>, layers: u16) {
         self.known.retain(|id, _| engines.contains_key(id));
         for id in engines.keys() {
-            let newest_life = self.gateway.knowledge.endpoints(|known| known.newest_life(id));
+            let newest_life = self.gateway.platform.endpoints(|known| known.newest_life(id));
             self.known.entry(id.clone()).or_default().on_life(newest_life);
         }
         let asking: Vec<(EndpointId, smol::Task<ReportOutcome>)> = engines
@@ -238,7 +240,7 @@
             .collect();
         for (id, task) in asking {
             let asked = task.await.within(layers);
-            let is_suspect = self.gateway.book.is_ejected(&id);
+            let is_suspect = self.gateway.endpoint_tracker.is_ejected(&id);
             let known = self.known.entry(id.clone()).or_default();
             if let ReportOutcome::Unreadable(reason) = &asked {
                 self.gateway.metrics.unreadable.get_or_create(&KindLabel { kind: "report" }).inc();
--- a/crates/sillbank_gateway/src/placement/reports.rs
+++ b/crates/sillbank_gateway/src/placement/reports.rs
@@ -17,7 +17,7 @@
 
 /// What is known of one engine by asking it.
 #[derive(Debug, Clone, Default)]
-pub struct KnownEngine {
+pub struct TrackedEngine {
     /// The newest life that its entry or its reports told of.
     newest_life: Option<BornMs>,
     /// Its newest report, unless it is lost.
@@ -55,7 +55,7 @@
     }
 }
 
-impl KnownEngine {
+impl TrackedEngine {
     /// Notes why a report cannot be read; answers whether that is new since the last one that could be.
     pub fn is_new_fault(&mut self, reason: &str) -> bool {
         let before = self.fault.replace(reason.to_owned());
@@ -99,7 +99,7 @@
 
 /// When the engines of a hall are asked, round by round.
 #[derive(Debug, Default)]
-pub struct ReportRounds {
+pub struct ReportSchedule {
     last: Option<ReportRound>,
 }
 
@@ -110,7 +110,7 @@
     found_engines: bool,
 }
 
-impl ReportRounds {
+impl ReportSchedule {
     /// Whether the next round is due: `interval` after the one before. If that one found no engine, it is due as
     /// soon as there are some: a leader that has just begun knows its endpoints a moment after its
     /// configuration, and VMs choose blindly until engines were asked.
@@ -123,7 +123,7 @@
     }
 
     /// A round began.
-    pub fn on_begun(&mut self, now: Instant, found_engines: bool) {
+    pub fn on_round_started(&mut self, now: Instant, found_engines: bool) {
         self.last = Some(ReportRound { began: now, found_engines });
     }
 }
--- a/crates/sillbank_gateway/src/placement/targets.rs
+++ b/crates/sillbank_gateway/src/placement/targets.rs
@@ -76,7 +76,7 @@
 
 /// What engines hold first: whole chains if there is memory for several, else pairs, if these are
 /// wanted. `None` if the layers do not fit.
-pub fn first_targets(
+pub fn initial_targets(
     engines: &[EngineView],
     figures: &EngineFigures,
     chains: &mut Chains,
@@ -102,7 +102,7 @@
 /// What has to move after engines were lost or came, in a hall that is to run `load` requests at once. Requests may still pass through what is given
 /// up: an engine that leaves ends its own, and running requests are moved around one that is lost.
 /// `None` if the layers do not fit.
-pub fn mended_targets(
+pub fn repair_targets(
     engines: &[EngineView],
     figures: &EngineFigures,
     chains: &mut Chains,
--- a/crates/sillbank_gateway/src/knowledge.rs
+++ b/crates/sillbank_gateway/src/platform_view.rs
@@ -1,6 +1,6 @@
 //! What the VM believes of the platform, and since when.
 
-use crate::freshness::{REWRITTEN_WITHIN, lease_term};
+use crate::freshness::{RESTORE_SETTLE_TIME, catalog_lease_term};
 use crate::revision::{Era, Revision};
 use crate::store::Snapshot;
 use sillbank_catalog::prelude::*;
@@ -24,7 +24,7 @@
 
 /// Age and version of what a decision was made from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KnowledgeStamp {
+pub struct ViewStamp {
     /// Version of the configuration.
     pub catalog: Option<CatalogVersion>,
     /// Time since the configuration was last confirmed, in milliseconds.
@@ -35,7 +35,7 @@
 
 /// Configuration and endpoints as this VM knows them.
 #[derive(Debug)]
-pub struct Knowledge {
+pub struct PlatformView {
     catalog: RefCell<Option<Rc<Catalog>>>,
     lease: RefCell<KnowledgeLease>,
     directory: RefCell<Directory>,
@@ -60,12 +60,12 @@
     woken_at: Cell<Option<Instant>>,
 }
 
-impl Knowledge {
+impl PlatformView {
     /// Knows nothing. A key that was taken away is accepted for `key_revocation` at most.
     pub fn new(key_revocation: Duration) -> Self {
         Self {
             catalog: RefCell::default(),
-            lease: RefCell::new(KnowledgeLease::new(lease_term(key_revocation))),
+            lease: RefCell::new(KnowledgeLease::new(catalog_lease_term(key_revocation))),
             directory: RefCell::default(),
             catalog_at: Cell::new(Revision::NONE),
             era: Cell::new(None),
@@ -86,7 +86,7 @@
 
     /// Changes the time within which the revocation of a key must be in force.
     pub fn set_key_revocation(&self, key_revocation: Duration) {
-        self.lease.borrow_mut().set_term(lease_term(key_revocation));
+        self.lease.borrow_mut().set_term(catalog_lease_term(key_revocation));
     }
 
     /// The configuration in force.
@@ -134,7 +134,7 @@
     /// so lately that the operator may not have written a newer configuration again.
     pub fn confirm_catalog_by_store(&self, confirmed: Instant, at: Revision) {
         self.note_era(at);
-        let is_unsettled = |restored: Instant| confirmed < restored + REWRITTEN_WITHIN;
+        let is_unsettled = |restored: Instant| confirmed < restored + RESTORE_SETTLE_TIME;
         if self.restored_at.get().is_some_and(is_unsettled) {
             self.directory.borrow_mut().on_store_seen(confirmed);
             self.catalog_at.set(self.catalog_at.get().max(at));
@@ -223,7 +223,7 @@
 
     /// Takes a whole list of endpoints unless it is older than what is known; answers what became of each
     /// that is missing in it.
-    pub fn take_endpoints(
+    pub fn apply_listing(
         &self,
         now: Instant,
         list: Snapshot<impl Into<Listing>>,
@@ -254,7 +254,7 @@
 
     /// Takes a difference from a VM that follows the store, unless it is older than what is known or
     /// `is_wanted` is false; answers the ids of the entries that went.
-    pub fn take_told(
+    pub fn apply_difference(
         &self,
         replication: &mut Replication,
         at: Revision,
@@ -321,7 +321,7 @@
     }
 
     /// Takes changes of endpoints unless they are older than what is known; answers what each removal means.
-    pub fn take_changes(
+    pub fn apply_changes(
         &self,
         now: Instant,
         changes: Snapshot<Vec<Change>>,
@@ -355,7 +355,7 @@
     }
 
     /// An endpoint told of its life itself.
-    pub fn hear_life(&self, id: &str, born_ms: BornMs) {
+    pub fn on_reported_incarnation(&self, id: &str, born_ms: BornMs) {
         let mut directory = self.directory.borrow_mut();
         let before = directory.newest_change();
         directory.on_life(id, born_ms);
@@ -399,7 +399,7 @@
     }
 
     /// When the next lapsed entry is to be evicted; `None` if there is none or the store is away.
-    pub fn next_lapse_end(&self) -> Option<Instant> {
+    pub fn next_eviction(&self) -> Option<Instant> {
         self.directory.borrow().next_lapse_end()
     }
 
@@ -441,9 +441,9 @@
     }
 
     /// Age and version, for logs.
-    pub fn stamp(&self, now: Instant) -> KnowledgeStamp {
+    pub fn stamp(&self, now: Instant) -> ViewStamp {
         self.note_suspension();
-        KnowledgeStamp {
+        ViewStamp {
             catalog: self.catalog.borrow().as_ref().map(|catalog| catalog.version()),
             catalog_age_ms: self.lease.borrow().age(now).map(|age| age.as_millis() as u64),
             endpoints_at: self.endpoints_at.get(),
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -24,10 +24,13 @@
     /// its life before.
     pub fn on_pushback(&self, endpoint: &str, pushback: Pushback, sent_at: Instant) {
         let asks_nothing = pushback == Pushback::default() && self.pushback.borrow().is_empty();
-        if asks_nothing || !self.keeps_pushback() || self.book.renewed_since(endpoint, sent_at) {
+        if asks_nothing
+            || !self.keeps_pushback()
+            || self.endpoint_tracker.restarted_since(endpoint, sent_at)
+        {
             return;
         }
-        let life = self.knowledge.endpoints(|directory| directory.newest_life(endpoint));
+        let life = self.platform.endpoints(|directory| directory.newest_life(endpoint));
         let (draw, now) = (self.chance.fraction(), Instant::now());
         let events = self.pushback.borrow_mut().on_answer(endpoint, life, pushback, draw, now);
         if !events.is_empty() {
@@ -39,15 +42,15 @@
     }
 
     /// Another VM told what endpoints said of their limits. What an older life said holds no more.
-    pub fn on_told_limits(&self, limits: &[LimitNews], from: &'static str) {
+    pub fn on_reported_limits(&self, limits: &[LimitNews], from: &'static str) {
         if limits.is_empty() || !self.keeps_pushback() {
             return;
         }
         let is_current = |told: &&LimitNews| {
-            self.knowledge.endpoints(|directory| {
+            self.platform.endpoints(|directory| {
                 let newest_life = directory.newest_life(&told.endpoint);
                 directory.get(&told.endpoint).is_some()
-                    && crate::lives::may_be_current(told.born_ms, newest_life)
+                    && crate::restarts::may_be_current(told.born_ms, newest_life)
             })
         };
         let limits: Vec<LimitNews> = limits.iter().filter(is_current).cloned().collect();
@@ -63,7 +66,7 @@
 
     /// Logs and counts the endpoints that a request was not sent to as they asked for it; answers after what time the
     /// first of them takes requests again, if that is known.
-    pub fn note_withheld(&self, job: &Job) -> Option<Duration> {
+    pub fn record_withheld(&self, job: &Job) -> Option<Duration> {
         if self.pushback.borrow().is_empty() {
             return None;
         }
@@ -122,7 +125,7 @@
         }
         if !events.is_empty() {
             self.show_pushback();
-            self.hall.wake_askers();
+            self.hall.wake_followers();
         }
     }
 }
@@ -132,7 +135,7 @@
     let mut looked_at = Instant::now();
     loop {
         smol::Timer::after(LOOK).await;
-        if gateway.knowledge.was_suspended_since(looked_at) {
+        if gateway.platform.was_suspended_since(looked_at) {
             gateway.pushback.borrow_mut().on_suspended();
         }
         let now = Instant::now();
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -35,14 +35,14 @@
 
     /// Names the life of an endpoint, where it tells when it began.
     fn life_name(&self, endpoint: &str) -> String {
-        match self.knowledge.endpoints(|directory| directory.newest_life(endpoint)) {
+        match self.platform.endpoints(|directory| directory.newest_life(endpoint)) {
             Some(born_ms) => format!("{endpoint}@{born_ms}"),
             None => endpoint.to_owned(),
         }
     }
 
     /// A request ran to its end, or beyond its beginning.
-    pub fn on_ran_well(&self, job: &Job) {
+    pub fn on_request_survived(&self, job: &Job) {
         if self.quarantine.borrow().is_empty() {
             return;
         }
@@ -53,7 +53,7 @@
     }
 
     /// How much longer a request is held back; `None` if it is not.
-    pub fn held_back(&self, job: &Job) -> Option<Duration> {
+    pub fn quarantined_for(&self, job: &Job) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() || !self.settings.borrow().mechanisms.quarantine {
             return None;
@@ -62,7 +62,7 @@
     }
 
     /// How much longer a request is kept apart from others: if it is what ends endpoints, it would leave none for anybody.
-    pub fn kept_apart_for(&self, job: &Job) -> Option<Duration> {
+    pub fn isolated_for(&self, job: &Job) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() || !self.settings.borrow().mechanisms.quarantine {
             return None;
@@ -71,8 +71,8 @@
     }
 
     /// Refuses a request that is held back: it was not run, and its caller may come back when the term is over.
-    pub fn refuse_held_back(&self, job: &Job) -> Option<Failure> {
-        let left = self.held_back(job)?;
+    pub fn refuse_quarantined(&self, job: &Job) -> Option<Failure> {
+        let left = self.quarantined_for(job)?;
         let ends = self.quarantine.borrow().ends(job.fingerprint());
         let fingerprint = describe_fingerprint(job.fingerprint());
         let reason = format!("{ends} endpoints ended under this request ({fingerprint})");
@@ -81,14 +81,14 @@
     }
 
     /// A leader told of such requests, or the store was read.
-    pub(crate) fn on_quarantine_known(&self) {
-        if !self.quarantine_is_known.replace(true) {
-            self.knowledge.wake();
+    pub(crate) fn on_quarantine_loaded(&self) {
+        if !self.quarantine_is_loaded.replace(true) {
+            self.platform.wake();
         }
     }
 
     /// Takes what a VM tells of requests under which endpoints ended.
-    pub fn on_told_suspects(&self, suspects: &[SuspectNews], teller: Teller) {
+    pub fn on_reported_suspects(&self, suspects: &[SuspectNews], teller: Teller) {
         if suspects.is_empty() {
             return;
         }
@@ -116,8 +116,10 @@
         let (held_back, suspected) = quarantine.counts();
         self.metrics.quarantined.set(held_back as i64);
         self.metrics.suspects.set(suspected as i64);
-        if quarantine.newest_urgent() > self.quarantine_told.replace(quarantine.newest_urgent()) {
-            self.hall.wake_askers();
+        if quarantine.newest_urgent()
+            > self.quarantine_announced.replace(quarantine.newest_urgent())
+        {
+            self.hall.wake_followers();
         }
     }
 }
--- a/crates/sillbank_gateway/src/quarantine_store.rs
+++ b/crates/sillbank_gateway/src/quarantine_store.rs
@@ -3,11 +3,11 @@
 //! It is one object: few requests are ever kept, and one call reads all. Whoever follows the endpoints in the store
 //! for a hall follows it too. A leader writes what its VMs saw, a VM without a leader what it saw itself.
 
-use crate::freshness::NEED_POLL;
+use crate::freshness::SOURCE_CHECK_INTERVAL;
 use crate::gateway::Gateway;
 use crate::metrics::KindLabel;
 use crate::revision::Revision;
-use crate::sources::{Followed, is_told};
+use crate::sources::{WatchKind, relies_on_leader};
 use crate::store::{MetadataStore, QuarantineObject, Snapshot, StoreError};
 use crate::wire::Wire;
 use sillbank_lease::WriteEnd;
@@ -29,10 +29,10 @@
     let mut since: Option<Revision> = None;
     let mut pause = PAUSE;
     loop {
-        if is_told(Followed::Endpoints, crate::follow::source_view(&gateway)) {
+        if relies_on_leader(WatchKind::Endpoints, crate::follow::source_view(&gateway)) {
             // What passes meanwhile is told; the first call after it reads everything.
             since = None;
-            smol::Timer::after(NEED_POLL).await;
+            smol::Timer::after(SOURCE_CHECK_INTERVAL).await;
             continue;
         }
         let read = match since {
@@ -79,7 +79,7 @@
 
 /// Whether this VM writes for its hall: it leads, or nobody does.
 fn is_writer<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) -> bool {
-    gateway.hall.tells.get().is_some() || !gateway.hall.leader_is_live(Instant::now())
+    gateway.hall.acting_fence.get().is_some() || !gateway.hall.leader_is_live(Instant::now())
 }
 
 /// Reads the object, adds what it lacks and writes it, unless another VM did so in between: then it is due again.
@@ -104,7 +104,7 @@
     gateway: &Gateway<W, S>,
     read: &Snapshot<Option<QuarantineObject>>,
 ) {
-    gateway.on_quarantine_known();
+    gateway.on_quarantine_loaded();
     let Some(object) = &read.value else { return };
     let mut quarantine = gateway.quarantine.borrow_mut();
     let events = quarantine.on_stored(&object.record, Instant::now(), unix_ms());
--- a/crates/sillbank_gateway/src/repeats.rs
+++ b/crates/sillbank_gateway/src/repeats.rs
@@ -38,8 +38,8 @@
 
     /// VMs of the fleet as far as known, cautiously.
     fn fleet_vms(&self, now: Instant) -> u32 {
-        let halls = self.knowledge.halls();
-        self.hall.boards.fleet_vms(&halls, now).unwrap_or(ASSUMED_VMS)
+        let halls = self.platform.halls();
+        self.hall.reports.fleet_vms(&halls, now).unwrap_or(ASSUMED_VMS)
     }
 
     fn with_budget<T>(
--- a/crates/sillbank_gateway/src/lives.rs
+++ b/crates/sillbank_gateway/src/restarts.rs
@@ -5,7 +5,7 @@
 //! how it ended says nothing of the new life.
 
 use crate::channels::Channel;
-use crate::feed::HallBoard;
+use crate::feed::HallReport;
 use crate::gateway::Gateway;
 use crate::wire::Wire;
 use hyper::header::HeaderMap;
@@ -14,34 +14,34 @@
 
 impl<W: Wire, S> Gateway<W, S> {
     /// An endpoint told of its life itself.
-    pub fn hear_life(&self, endpoint: &str, born_ms: Option<BornMs>) {
+    pub fn on_reported_incarnation(&self, endpoint: &str, born_ms: Option<BornMs>) {
         if let Some(born_ms) = born_ms {
-            self.knowledge.hear_life(endpoint, born_ms);
-            self.clear_older_lives();
+            self.platform.on_reported_incarnation(endpoint, born_ms);
+            self.reset_restarted_endpoints();
         }
     }
 
     /// Takes the lives that a board tells of.
-    pub fn hear_lives(&self, board: &HallBoard) {
+    pub fn on_reported_incarnations(&self, board: &HallReport) {
         for engine in &board.engines {
             if let Some(born_ms) = engine.born_ms {
-                self.knowledge.hear_life(&engine.id, born_ms);
+                self.platform.on_reported_incarnation(&engine.id, born_ms);
             }
         }
-        self.clear_older_lives();
+        self.reset_restarted_endpoints();
     }
 
     /// Ends what is kept of the older lives of endpoints that have started again.
-    pub fn clear_older_lives(&self) {
+    pub fn reset_restarted_endpoints(&self) {
         let now = Instant::now();
-        for id in self.knowledge.take_renewed() {
-            let newest_life = self.knowledge.endpoints(|directory| directory.newest_life(&id));
-            self.book.on_new_life(&id, now);
+        for id in self.platform.take_renewed() {
+            let newest_life = self.platform.endpoints(|directory| directory.newest_life(&id));
+            self.endpoint_tracker.on_restart(&id, now);
             self.channels.forget(&id);
             self.heard.on_new_life(&id);
             self.pushback.borrow_mut().on_new_life(&id);
-            self.call_book.retain(|known| known != id);
-            self.hall.boards.on_new_life(&id, newest_life);
+            self.call_tracker.retain(|known| known != id);
+            self.hall.reports.on_restart(&id, newest_life);
             self.metrics.renewed_endpoints.inc();
             tracing::info!(endpoint = id, born_ms = newest_life, "endpoint: Started again.");
         }
@@ -49,7 +49,7 @@
 
     /// Keeps a connection after a whole answer, unless the endpoint has started again since it was opened.
     pub fn keep_channel(&self, endpoint: &str, channel: Channel, reply: &HeaderMap) {
-        if !self.book.renewed_since(endpoint, channel.opened_at) {
+        if !self.endpoint_tracker.restarted_since(endpoint, channel.opened_at) {
             self.channels.give_back(endpoint, channel, reply, Instant::now());
         }
     }
--- a/crates/sillbank_gateway/src/sources.rs
+++ b/crates/sillbank_gateway/src/sources.rs
@@ -15,11 +15,11 @@
 
 /// How long a VM that begins waits for a leader before it asks the store itself: a hall's leader that is
 /// there answers within 300 ms, one that begins too has the lease after about as long. Saves two calls a VM.
-pub const FIRST_LEADER_WAIT: Duration = Duration::from_millis(700);
+pub const INITIAL_LEADER_WAIT: Duration = Duration::from_millis(700);
 
 /// What a task follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Followed {
+pub enum WatchKind {
     /// The configuration. This task also looks for the store's return on a VM whose leader is there but
     /// has lost the store too.
     Catalog,
@@ -29,13 +29,13 @@
 
 /// What a VM sees of its sources.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SourceView {
+pub struct SourceState {
     /// Whether the leader has been heard of lately.
     pub leader_is_live: bool,
     /// Whether it has said lately that it holds the hall's lease, and so reaches the store.
     pub leader_holds_lease: bool,
     /// Whether what it tells was confirmed lately enough.
-    pub leader_suffices: bool,
+    pub leader_is_fresh: bool,
     /// Whether this VM has a configuration.
     pub has_catalog: bool,
     /// Whether this VM's last call to the store was answered.
@@ -47,7 +47,7 @@
 }
 
 /// Whether a task need not ask the store.
-pub fn is_told(followed: Followed, view: SourceView) -> bool {
+pub fn relies_on_leader(followed: WatchKind, view: SourceState) -> bool {
     if view.awaits_leader {
         return true;
     }
@@ -57,9 +57,9 @@
     // Before the first configuration there is nothing to confirm: one VM of the hall asks for it.
     let awaits_first = !view.has_catalog && view.leader_holds_lease;
     match followed {
-        Followed::Catalog => view.leader_suffices || awaits_first,
-        Followed::Endpoints => {
-            view.leader_suffices || (view.leader_is_live && !view.store_is_reached)
+        WatchKind::Catalog => view.leader_is_fresh || awaits_first,
+        WatchKind::Endpoints => {
+            view.leader_is_fresh || (view.leader_is_live && !view.store_is_reached)
         }
     }
 }
@@ -70,7 +70,7 @@
     /// When the leader's configuration was last confirmed.
     pub confirmed: Instant,
     /// Age from which that is not enough.
-    pub enough_for: Duration,
+    pub max_staleness: Duration,
     /// Whether the leader's last call to the store was answered.
     pub store_is_reached: bool,
 }
@@ -84,12 +84,12 @@
         now: Instant,
         asked_so_far: Option<SocketAddr>,
     ) -> Option<SocketAddr> {
-        hall.tells.get()?;
-        let is_fresh = now.saturating_duration_since(self.confirmed) < self.enough_for;
+        hall.acting_fence.get()?;
+        let is_fresh = now.saturating_duration_since(self.confirmed) < self.max_staleness;
         match (is_fresh, self.store_is_reached) {
             (true, true) => None,
             (true, false) => asked_so_far,
-            (false, _) => hall.best_informed_asker(now, self.confirmed),
+            (false, _) => hall.freshest_follower(now, self.confirmed),
         }
     }
 }
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -3,7 +3,7 @@
 use super::loss::{ActiveRoute, Loss, SilenceTimer, look_for_loss, move_request};
 use super::target::Target;
 use crate::channels::Channel;
-use crate::endpoints::{Evidence, InFlight, Share};
+use crate::endpoints::{Evidence, InFlightGuard, RequestPart};
 use crate::ends::BrokenSend;
 use crate::events::EventSplitter;
 use crate::gateway::Gateway;
@@ -36,7 +36,7 @@
     pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
     pub(super) splitter: EventSplitter,
-    pub(super) _in_flight: InFlight,
+    pub(super) _in_flight: InFlightGuard,
     pub(super) sent_at: Instant,
     /// When the first event came from this endpoint.
     pub(super) first_event_at: Option<Instant>,
@@ -102,9 +102,9 @@
     let sent_at = Instant::now();
     let shares = match (&target.path, &job.service.engine) {
         (Some(path), Some(figures)) => shares_of(path, job.demand(figures)),
-        _ => vec![Share { endpoint: target.endpoint.clone(), kv: 0.0 }],
+        _ => vec![RequestPart { endpoint: target.endpoint.clone(), kv: 0.0 }],
     };
-    let in_flight = gateway.book.begin(shares, sent_at);
+    let in_flight = gateway.endpoint_tracker.start(shares, sent_at);
     let endpoint = target.endpoint.clone();
     let sent_path = target.path.clone();
     let to = Destination { endpoint: &endpoint, address: target.address, path: sent_path.as_ref() };
--- a/crates/sillbank_gateway/src/streams/begin.rs
+++ b/crates/sillbank_gateway/src/streams/begin.rs
@@ -7,7 +7,7 @@
 use crate::ends::{BrokenSend, on_broken_send};
 use crate::gateway::Gateway;
 use crate::job::Job;
-use crate::load::LoadAsk;
+use crate::load::AdmissionRequest;
 use crate::store::MetadataStore;
 use crate::tries::Tries;
 use crate::wire::{EventNumber, Wire};
@@ -33,7 +33,7 @@
     }
     loop {
         let target = choose_target(gateway, job, resume_after, &avoid);
-        let withheld_for = gateway.note_withheld(job);
+        let withheld_for = gateway.record_withheld(job);
         let target = match target {
             Ok(target) => target,
             Err(NoTarget::Withheld) => {
@@ -57,12 +57,12 @@
         tries.begin(job);
         gateway.count_against_limit(&target.endpoint);
         let sent_at = Instant::now();
-        let stamp = gateway.knowledge.stamp(sent_at);
+        let stamp = gateway.platform.stamp(sent_at);
         let address = target.address;
         gateway.decisions.sent(job, &target.endpoint, target.path.as_ref(), resume_after, stamp);
         let end = match send_once(gateway, job, target, resume_after).await {
             SendOnce::Begun(begun) => {
-                gateway.on_let_in(job);
+                gateway.on_admitted(job);
                 return Ok(begun);
             }
             SendOnce::Ended(end) => end,
@@ -102,7 +102,7 @@
     if !gateway.settings().mechanisms.ladder {
         return Ok(());
     }
-    let ask = LoadAsk {
+    let ask = AdmissionRequest {
         service: &job.service,
         figures,
         route: &job.route,
@@ -110,10 +110,10 @@
         left: job.head.time_left,
         draw: gateway.chance.fraction(),
     };
-    let admitted = gateway.load.admit(gateway.views(Instant::now()), ask);
+    let admitted = gateway.load.admit(gateway.routing_context(Instant::now()), ask);
     let metrics = &gateway.metrics.ladder;
     metrics.on_asked(&job.service.name, ask.urgency, admitted);
-    if let Some(believed) = gateway.load.believed(&job.service.name) {
+    if let Some(believed) = gateway.load.estimate(&job.service.name) {
         metrics.show(&job.service.name, believed);
     }
     admitted.map_err(|closed| match closed.is_late {
@@ -127,11 +127,9 @@
 fn refuse<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, job: &Job, reason: &str) -> Failure {
     let failure = give_up(job.run.get(), FailureKind::NoChain, reason);
     match failure.retry_after {
-        Some(_) if !gateway.knowledge.knows_endpoints() => {
-            failure.retry_after(COME_BACK_UNINFORMED)
-        }
+        Some(_) if !gateway.platform.knows_endpoints() => failure.retry_after(COME_BACK_UNINFORMED),
         Some(_) if gateway.settings().mechanisms.return_times => {
-            failure.retry_after(gateway.come_back(job))
+            failure.retry_after(gateway.retry_after(job))
         }
         _ => failure,
     }
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -5,7 +5,7 @@
 use crate::gateway::Gateway;
 use crate::job::{Job, path_ask};
 use crate::metrics::KindLabel;
-use crate::paths::choose_mended_path;
+use crate::paths::choose_repaired_path;
 use crate::store::MetadataStore;
 use crate::wire::{OrderEnd, Wire};
 use sillbank_core::prelude::*;
@@ -175,8 +175,8 @@
     since: Instant,
 ) -> Vec<EndpointId> {
     let is_lost = |part: &&PathPart| {
-        let (id, book) = (&part.endpoint, &gateway.book);
-        book.ejected_since(id, since) || book.renewed_since(id, since)
+        let (id, book) = (&part.endpoint, &gateway.endpoint_tracker);
+        book.ejected_since(id, since) || book.restarted_since(id, since)
     };
     path.parts().iter().filter(is_lost).map(|part| part.endpoint.clone()).collect()
 }
@@ -246,7 +246,7 @@
     };
     let is_moved = matches!(end, OrderEnd::Begun | OrderEnd::Done);
     gateway.metrics.moves.get_or_create(&KindLabel { kind: end.name() }).inc();
-    let stamp = gateway.knowledge.stamp(Instant::now());
+    let stamp = gateway.platform.stamp(Instant::now());
     gateway.decisions.moved(job, &loss.engines, &mended, end, stamp);
     is_moved.then_some(mended)
 }
@@ -260,11 +260,11 @@
 ) -> Option<LayerPath> {
     let figures = job.service.engine.as_ref()?;
     let home = gateway.settings().hall.clone();
-    let views = gateway.views(Instant::now());
+    let views = gateway.routing_context(Instant::now());
     let ask = path_ask(job, figures, &home, lost);
-    lost.iter().try_fold(path.clone(), |path, lost| choose_mended_path(views, ask, &path, lost))
+    lost.iter().try_fold(path.clone(), |path, lost| choose_repaired_path(views, ask, &path, lost))
 }
 
 fn standing<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, id: &str) -> Option<Standing> {
-    gateway.knowledge.endpoints(|directory| directory.get(id).map(|record| record.standing))
+    gateway.platform.endpoints(|directory| directory.get(id).map(|record| record.standing))
 }
--- a/crates/sillbank_gateway/src/streams/pump.rs
+++ b/crates/sillbank_gateway/src/streams/pump.rs
@@ -83,7 +83,7 @@
         loop {
             let (at_fault, reason) = match self.relay_part(&mut upstream).await {
                 PartEnd::Whole => {
-                    self.gateway.on_ran_well(&self.job);
+                    self.gateway.on_request_survived(&self.job);
                     let Upstream { channel, endpoint, head, .. } = upstream;
                     self.gateway.keep_channel(&endpoint, channel, &head);
                     return (Outcome::Answered, String::new());
@@ -114,7 +114,7 @@
 
     /// Takes the stream up at another path, if that is allowed.
     async fn resume(&self, avoid: Vec<EndpointId>) -> Option<Upstream> {
-        let is_held_back = self.gateway.held_back(&self.job).is_some();
+        let is_held_back = self.gateway.quarantined_for(&self.job).is_some();
         if is_held_back || !self.rules.resumable || !self.gateway.may_send_again(&self.job) {
             return None;
         }
@@ -171,7 +171,7 @@
                 }
                 Some(Ok(frame)) => {
                     if upstream.passes_beginning(now) {
-                        self.gateway.on_ran_well(&self.job);
+                        self.gateway.on_request_survived(&self.job);
                     }
                     if let Some(data) = frame.data_ref()
                         && let Err(reason) = self.relay_bytes(&mut upstream.splitter, data)
--- a/crates/sillbank_gateway/src/streams/target.rs
+++ b/crates/sillbank_gateway/src/streams/target.rs
@@ -3,7 +3,8 @@
 use crate::gateway::Gateway;
 use crate::job::{Job, path_ask};
 use crate::paths::{
-    PathAsk, choose_any_path, choose_path, first_engines, has_withheld_path, risked_engine,
+    PathRequest, choose_any_path, choose_path, first_engines, has_path_despite_pushback,
+    isolation_engine,
 };
 use crate::store::MetadataStore;
 use crate::wire::{EventNumber, Wire};
@@ -55,20 +56,20 @@
     let Some(figures) = &job.service.engine else {
         return choose_endpoint(gateway, job, avoid, now);
     };
-    let views = gateway.views(now);
+    let views = gateway.routing_context(now);
     let ask = path_ask(job, figures, &home, avoid);
     let mut avoid = avoid.to_vec();
-    if let Some(left) = gateway.kept_apart_for(job) {
+    if let Some(left) = gateway.isolated_for(job) {
         let mut firsts = first_engines(views, ask);
         // What it has tried counts again once it has started again.
-        let is_back = |first: &str| gateway.book.renewed_since(first, job.began);
+        let is_back = |first: &str| gateway.endpoint_tracker.restarted_since(first, job.began);
         firsts.retain(|first| !avoid.contains(first) || is_back(first));
-        let Some(risked) = risked_engine(&firsts, &avoid) else {
+        let Some(risked) = isolation_engine(&firsts, &avoid) else {
             return Err(NoTarget::KeptApart(left));
         };
         avoid.extend(firsts.iter().filter(|first| *first != risked).cloned());
     }
-    let ask = PathAsk { avoid: &avoid, ..ask };
+    let ask = PathRequest { avoid: &avoid, ..ask };
     if let Some(path) = choose_path(views, ask) {
         if views.mechanisms.forecasts {
             job.foretold.get_or_init(|| gateway.forecasts.foretell(views, ask, &path));
@@ -78,7 +79,7 @@
     match choose_any_path(views, ask) {
         Some(path) if resume_after.is_some() => Ok(Target::on(path)),
         Some(_) => Err(NoTarget::NoRoom),
-        None if has_withheld_path(views, ask) => Err(NoTarget::Withheld),
+        None if has_path_despite_pushback(views, ask) => Err(NoTarget::Withheld),
         None => Err(NoTarget::NoPath),
     }
 }
@@ -98,13 +99,16 @@
     now: Instant,
 ) -> Result<Target, NoTarget> {
     let home = gateway.settings().hall.clone();
-    let views = gateway.views(now);
-    gateway.knowledge.endpoints(|directory| {
+    let views = gateway.routing_context(now);
+    gateway.platform.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
-        let fits = usable.filter(|r| !avoid.contains(&r.id) && gateway.book.takes_work(&r.id, now));
+        let fits = usable.filter(|r| {
+            !avoid.contains(&r.id) && gateway.endpoint_tracker.accepts_work(&r.id, now)
+        });
         let fits: Vec<_> = fits.collect();
         let may_send = fits.iter().filter(|r| views.may_send(&r.id));
-        let best = may_send.min_by_key(|r| (gateway.book.in_flight(&r.id), r.hall != home));
+        let best =
+            may_send.min_by_key(|r| (gateway.endpoint_tracker.in_flight(&r.id), r.hall != home));
         match best {
             Some(best) => {
                 Ok(Target { endpoint: best.id.clone(), address: best.address, path: None })
--- a/crates/sillbank_gateway/src/tries.rs
+++ b/crates/sillbank_gateway/src/tries.rs
@@ -45,7 +45,7 @@
         job: &Job,
         left: Left,
     ) -> bool {
-        if left != Left::NotSent && gateway.held_back(job).is_some() {
+        if left != Left::NotSent && gateway.quarantined_for(job).is_some() {
             return false;
         }
         match left {
--- a/crates/sillbank_gateway/tests/fleet_sources.rs
+++ b/crates/sillbank_gateway/tests/fleet_sources.rs
@@ -144,7 +144,7 @@
 
     /// Most calls of the leader that follows: one watch after the other.
     fn most_of_follower(&self, window_ms: u64) -> u64 {
-        most_calls(window_ms, self.freshness.leader_wait.as_millis() as u64)
+        most_calls(window_ms, self.freshness.watch_wait.as_millis() as u64)
     }
 }
 
@@ -243,7 +243,7 @@
 
             // Its source's watches, one after the other, and nobody beside it.
             let calls = fleet.calls_of_members() - before;
-            let most = most_calls(10_000, freshness.leader_wait.as_millis() as u64);
+            let most = most_calls(10_000, freshness.watch_wait.as_millis() as u64);
             assert!(calls <= most, "seed {seed}, {vms} VMs: {calls} calls in 10 s");
         }
     }
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -5,13 +5,13 @@
 use sillbank_engines::prelude::*;
 use sillbank_fleet::prelude::*;
 use sillbank_gateway::delivery::Delivery;
-use sillbank_gateway::endpoints::EndpointBook;
-use sillbank_gateway::feed::{EngineState, HallBoard};
+use sillbank_gateway::endpoints::EndpointTracker;
+use sillbank_gateway::feed::{EngineState, HallReport};
 use sillbank_gateway::forecasts::{Forecasts, Foretold};
 use sillbank_gateway::hall::Hall;
-use sillbank_gateway::knowledge::Knowledge;
 use sillbank_gateway::mechanisms::Mechanisms;
-use sillbank_gateway::paths::{PathAsk, Views, choose_path};
+use sillbank_gateway::paths::{PathRequest, RoutingContext, choose_path};
+use sillbank_gateway::platform_view::PlatformView;
 use sillbank_gateway::revision::Revision;
 use sillbank_gateway::store::Snapshot;
 use std::cell::RefCell;
@@ -91,28 +91,28 @@
 ) -> Option<Foretold> {
     let now = Instant::now();
     let chance = Chance::with_seed(SEED);
-    let (knowledge, hall) = (Knowledge::new(Duration::from_secs(5)), Hall::new(chance.clone()));
-    knowledge.take_endpoints(now, Snapshot { at: Revision::new(1, 1), value: vec![record] });
+    let (platform, hall) = (PlatformView::new(Duration::from_secs(5)), Hall::new(chance.clone()));
+    platform.apply_listing(now, Snapshot { at: Revision::new(1, 1), value: vec![record] });
     if let Some(state) = told {
         let leader = "10.0.0.1:7000".parse().expect("an address");
         let (hall_name, engines) = (HOME.to_owned(), vec![state]);
-        let board = HallBoard {
+        let board = HallReport {
             hall: hall_name,
             age_ms: 0,
             vms: 1,
             leader,
-            is_whole: true,
+            is_complete: true,
             engines,
             demand: None,
         };
-        hall.boards.keep(now, board);
+        hall.reports.insert(now, board);
     }
-    let (book, service) = (EndpointBook::default(), service());
+    let (endpoint_tracker, service) = (EndpointTracker::default(), service());
     let mechanisms = Mechanisms::default();
-    let views = Views {
-        knowledge: &knowledge,
+    let views = RoutingContext {
+        platform: &platform,
         hall: &hall,
-        book: &book,
+        endpoint_tracker: &endpoint_tracker,
         pushback: &RefCell::default(),
         mechanisms,
         chance: &chance,
@@ -120,7 +120,7 @@
     };
     let figures = service.engine.as_ref().expect("it has one");
     let demand = Demand::usual(figures);
-    let ask = PathAsk { service: &service, figures, home: HOME, avoid: &[], demand };
+    let ask = PathRequest { service: &service, figures, home: HOME, avoid: &[], demand };
     let path = choose_path(views, ask).expect("there is one");
     forecasts.foretell(views, ask, &path)
 }
--- a/crates/sillbank_gateway/tests/freshness.rs
+++ b/crates/sillbank_gateway/tests/freshness.rs
@@ -1,9 +1,9 @@
 //! While all is well nobody but the leader asks the store; when the leader is blind, others ask in time.
 
 use sillbank_core::chance::Chance;
-use sillbank_gateway::feed::FeedNews;
+use sillbank_gateway::feed::FeedUpdate;
 use sillbank_gateway::freshness::{
-    Freshness, NEED_POLL, NEWS_WAIT, confirmed_by_watch, lease_term,
+    Freshness, LONG_POLL_WAIT, SOURCE_CHECK_INTERVAL, catalog_lease_term, confirmed_by_watch,
 };
 use sillbank_gateway::hall::{Hall, HallVms};
 use sillbank_gateway::revision::Revision;
@@ -25,21 +25,21 @@
 fn ages_before_news(freshness: Freshness, phase: Duration) -> Vec<Duration> {
     let began = Instant::now();
     let (hall, mut ages) = (Hall::new(Chance::with_seed(SEED)), Vec::new());
-    let step = freshness.leader_wait + WAY;
+    let step = freshness.watch_wait + WAY;
     // When the leader has the confirmation after this one, by the leader of another hall.
     let next_at = |watch_sent: Instant| watch_sent + step + BY_OTHER_HALL;
     let (mut confirmed, mut watch_sent) = (began, began);
     let mut told = began + phase;
     while told < began + Duration::from_secs(20) {
         while next_at(watch_sent) <= told - WAY {
-            confirmed = watch_sent + freshness.leader_wait;
+            confirmed = watch_sent + freshness.watch_wait;
             watch_sent += step;
         }
         ages.extend(hall.confirmation_age(told));
-        hall.on_news(told, Some(confirmed), false);
+        hall.on_leader_update(told, Some(confirmed), false);
         // The leader answers when it is confirmed anew, or after a wait.
         let by_confirmation = (next_at(watch_sent) + WAY).max(told + 2 * WAY);
-        told = (told + NEWS_WAIT + WAY).min(by_confirmation);
+        told = (told + LONG_POLL_WAIT + WAY).min(by_confirmation);
     }
     ages
 }
@@ -52,7 +52,7 @@
             let ages = ages_before_news(freshness, Duration::from_millis(phase_ms));
 
             let oldest = ages.iter().max().expect("there are some");
-            assert!(*oldest < freshness.enough_for, "{bound_ms} {phase_ms}: {oldest:?}");
+            assert!(*oldest < freshness.max_staleness, "{bound_ms} {phase_ms}: {oldest:?}");
         }
     }
 }
@@ -64,10 +64,10 @@
 
         let freshness = Freshness::new(bound, REVOCATION);
 
-        let last = freshness.enough_for_member(300, 1.0);
+        let last = freshness.max_staleness_for_member(300, 1.0);
         // A fifth is left for a call in vain and for passing the news on.
-        assert!(last + NEED_POLL <= bound.mul_f64(0.8), "{bound_ms}: {last:?}");
-        assert!(last + NEED_POLL + 4 * WAY <= bound, "{bound_ms}: {last:?}");
+        assert!(last + SOURCE_CHECK_INTERVAL <= bound.mul_f64(0.8), "{bound_ms}: {last:?}");
+        assert!(last + SOURCE_CHECK_INTERVAL + 4 * WAY <= bound, "{bound_ms}: {last:?}");
     }
 }
 
@@ -75,18 +75,20 @@
 fn the_vms_of_a_small_hall_do_not_wait_for_turns() {
     let freshness = freshness();
 
-    assert_eq!(freshness.enough_for_member(4, 1.0), freshness.enough_for);
-    assert!(freshness.enough_for_member(60, 1.0) > freshness.enough_for_member(60, 0.0));
+    assert_eq!(freshness.max_staleness_for_member(4, 1.0), freshness.max_staleness);
+    assert!(
+        freshness.max_staleness_for_member(60, 1.0) > freshness.max_staleness_for_member(60, 0.0)
+    );
 }
 
 fn freshness() -> Freshness {
     Freshness::new(Duration::from_secs(2), REVOCATION)
 }
 
-fn news(held_ms: u64, confirmed_age_ms: u64) -> FeedNews {
-    FeedNews {
+fn news(held_ms: u64, confirmed_age_ms: u64) -> FeedUpdate {
+    FeedUpdate {
         incarnation: 1,
-        boards_seen: 0,
+        hall_reports_seen: 0,
         holds_lease: true,
         follows_store: true,
         hall_vms: HallVms { vms: 2, fit: 2 },
@@ -95,7 +97,7 @@
         confirmed_at: Revision::new(1, 9),
         catalog: None,
         endpoints: None,
-        boards: Vec::new(),
+        hall_reports: Vec::new(),
         quarantine: Default::default(),
         limits: Default::default(),
         parts: Vec::new(),
@@ -130,18 +132,18 @@
     let confirmed = news(0, u64::MAX).confirmed_since(sent, sent);
 
     let age = confirmed.map(|confirmed| sent.saturating_duration_since(confirmed));
-    assert!(age.is_none_or(|age| age > freshness().enough_for), "{age:?}");
+    assert!(age.is_none_or(|age| age > freshness().max_staleness), "{age:?}");
 }
 
 #[test]
 fn a_leader_of_a_slow_store_asks_more_often() {
     let freshness = Freshness::new(Duration::from_secs(3), REVOCATION);
 
-    let wait = freshness.leader_wait_after(Duration::from_millis(250));
+    let wait = freshness.watch_wait_after(Duration::from_millis(250));
 
     // Two calls that take 250 ms more are as far apart as two that do not.
-    assert_eq!(wait + Duration::from_millis(250), freshness.leader_wait);
-    assert!(!freshness.leader_wait_after(Duration::from_secs(9)).is_zero());
+    assert_eq!(wait + Duration::from_millis(250), freshness.watch_wait);
+    assert!(!freshness.watch_wait_after(Duration::from_secs(9)).is_zero());
 }
 
 #[test]
@@ -152,7 +154,7 @@
             let ages = ages_before_news(freshness, Duration::from_millis(phase_ms));
 
             let oldest = ages.iter().max().expect("there are some");
-            let left = lease_term(REVOCATION) - *oldest;
+            let left = catalog_lease_term(REVOCATION) - *oldest;
             assert!(left >= REVOCATION.mul_f64(0.6), "{bound_ms} {phase_ms}: {left:?}");
         }
     }
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -9,14 +9,14 @@
 use sillbank_core::chance::Chance;
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
-use sillbank_gateway::endpoints::EndpointBook;
-use sillbank_gateway::feed::{EngineState, HallBoard};
+use sillbank_gateway::endpoints::EndpointTracker;
+use sillbank_gateway::feed::{EngineState, HallReport};
 use sillbank_gateway::hall::Hall;
-use sillbank_gateway::knowledge::Knowledge;
 use sillbank_gateway::ladder_metrics::{AskedLabel, LadderMetrics};
-use sillbank_gateway::load::{FleetLoad, LoadAsk, NotLetIn, fleet_room};
+use sillbank_gateway::load::{AdmissionRequest, FleetLoad, NotAdmitted, fleet_capacity};
 use sillbank_gateway::mechanisms::Mechanisms;
-use sillbank_gateway::paths::Views;
+use sillbank_gateway::paths::RoutingContext;
+use sillbank_gateway::platform_view::PlatformView;
 use sillbank_gateway::revision::Revision;
 use sillbank_gateway::store::Snapshot;
 use sillbank_pushback::prelude::*;
@@ -72,10 +72,10 @@
 
 /// A VM that knows of two engines for each half of the layers.
 struct Vm {
-    knowledge: Knowledge,
+    platform: PlatformView,
     hall: Hall,
     chance: Chance,
-    book: EndpointBook,
+    endpoint_tracker: EndpointTracker,
     pushback: RefCell<PushbackBook>,
     load: FleetLoad,
     service: Service,
@@ -86,15 +86,15 @@
 impl Vm {
     fn new() -> Self {
         let start = Instant::now();
-        let knowledge = Knowledge::new(Duration::from_secs(60));
+        let platform = PlatformView::new(Duration::from_secs(60));
         let ids = [("low-1", 0), ("low-2", 0), ("high-1", 10), ("high-2", 10)];
         let value = ids.map(|(id, first)| record(id, first, first + 10)).to_vec();
-        knowledge.take_endpoints(start, Snapshot { at: Revision::new(1, 1), value });
+        platform.apply_listing(start, Snapshot { at: Revision::new(1, 1), value });
         Self {
-            knowledge,
+            platform,
             hall: Hall::new(Chance::with_seed(1)),
             chance: Chance::with_seed(1),
-            book: EndpointBook::default(),
+            endpoint_tracker: EndpointTracker::default(),
             pushback: RefCell::default(),
             load: FleetLoad::default(),
             service: service(),
@@ -103,11 +103,20 @@
         }
     }
 
-    fn views(&self, after: Duration) -> Views<'_> {
-        let (knowledge, hall, book) = (&self.knowledge, &self.hall, &self.book);
+    fn routing_context(&self, after: Duration) -> RoutingContext<'_> {
+        let (platform, hall, endpoint_tracker) =
+            (&self.platform, &self.hall, &self.endpoint_tracker);
         let mechanisms = Mechanisms::default();
         let (chance, now) = (&self.chance, self.start + after);
-        Views { knowledge, hall, book, pushback: &self.pushback, mechanisms, chance, now }
+        RoutingContext {
+            platform,
+            hall,
+            endpoint_tracker,
+            pushback: &self.pushback,
+            mechanisms,
+            chance,
+            now,
+        }
     }
 
     /// Tells that all engines are so full.
@@ -120,14 +129,21 @@
     fn tell_engines(&self, after: Duration, leader: &str, engines: Vec<EngineState>) {
         let leader = leader.parse().expect("an address");
         let hall = HOME.to_owned();
-        let board =
-            HallBoard { hall, age_ms: 0, vms: 1, leader, is_whole: true, engines, demand: None };
-        self.hall.boards.keep(self.start + after, board);
+        let board = HallReport {
+            hall,
+            age_ms: 0,
+            vms: 1,
+            leader,
+            is_complete: true,
+            engines,
+            demand: None,
+        };
+        self.hall.reports.insert(self.start + after, board);
     }
 
-    fn ask(&self, after: Duration, rank: u8, left: Duration) -> Result<(), NotLetIn> {
+    fn ask(&self, after: Duration, rank: u8, left: Duration) -> Result<(), NotAdmitted> {
         let figures = self.service.engine.as_ref().expect("it has one");
-        let ask = LoadAsk {
+        let ask = AdmissionRequest {
             service: &self.service,
             figures,
             route: &self.route,
@@ -135,11 +151,11 @@
             left: Some(left),
             draw: 0.5,
         };
-        self.load.admit(self.views(after), ask)
+        self.load.admit(self.routing_context(after), ask)
     }
 
     /// Requests of three ranks for some quarters of a second; answers what the last of them got.
-    fn ask_all(&self, quarters: std::ops::Range<u32>) -> [Result<(), NotLetIn>; 3] {
+    fn ask_all(&self, quarters: std::ops::Range<u32>) -> [Result<(), NotAdmitted>; 3] {
         let mut answers = [Ok(()); 3];
         for quarter in quarters {
             answers = [0, 1, 2].map(|rank| self.ask(NEWS * quarter, rank, USUAL_LEFT));
@@ -149,7 +165,7 @@
 
     fn fullness(&self, after: Duration) -> Option<f64> {
         let figures = self.service.engine.as_ref().expect("it has one");
-        fleet_room(self.views(after), &self.service, figures).fullness()
+        fleet_capacity(self.routing_context(after), &self.service, figures).fullness()
     }
 }
 
@@ -164,8 +180,8 @@
     }
 
     assert_eq!(answers[0], Ok(()));
-    assert_eq!(answers[2], Err(NotLetIn { fullness: 1.0, is_late: false }));
-    let believed = vm.load.believed("gen").expect("it was asked");
+    assert_eq!(answers[2], Err(NotAdmitted { fullness: 1.0, is_late: false }));
+    let believed = vm.load.estimate("gen").expect("it was asked");
     assert_eq!(believed.fullness, 1.0);
     assert!((0.3..0.7).contains(&believed.share), "{believed:?}");
 }
@@ -194,7 +210,7 @@
     let late = vm.ask(NEWS * 10, 0, USUAL_LEFT - OBJECTIVE * 2);
     let in_time = vm.ask(NEWS * 10, 0, USUAL_LEFT - OBJECTIVE / 2);
 
-    assert_eq!(late, Err(NotLetIn { fullness: 1.0, is_late: true }));
+    assert_eq!(late, Err(NotAdmitted { fullness: 1.0, is_late: true }));
     assert_eq!(in_time, Ok(()));
 }
 
@@ -217,7 +233,7 @@
     }
 
     assert_eq!(let_in, [Ok(()); 3]);
-    assert_eq!(held_back[2], Err(NotLetIn { fullness: 1.0, is_late: false }));
+    assert_eq!(held_back[2], Err(NotAdmitted { fullness: 1.0, is_late: false }));
 }
 
 #[test]
@@ -244,7 +260,7 @@
     let vm = Vm::new();
     let mut records: Vec<EndpointRecord> = vec![record("low-1", 0, 10), record("high-1", 10, 20)];
     records[0].born_ms = Some(2);
-    vm.knowledge.take_endpoints(vm.start, Snapshot { at: Revision::new(1, 2), value: records });
+    vm.platform.apply_listing(vm.start, Snapshot { at: Revision::new(1, 2), value: records });
 
     let told_of = |born_ms| {
         let low = EngineState { born_ms, ..engine("low-1", 0, 10, 500) };
@@ -298,7 +314,7 @@
 fn two_boards_of_one_hall_count_once() {
     let vm = Vm::new();
     let figures = vm.service.engine.as_ref().expect("it has one");
-    let room = |after| fleet_room(vm.views(after), &vm.service, figures);
+    let room = |after| fleet_capacity(vm.routing_context(after), &vm.service, figures);
     let whole = |kv_permille| {
         vec![engine("low-1", 0, 10, kv_permille), engine("high-1", 10, LAYERS, kv_permille)]
     };
@@ -322,20 +338,20 @@
     for draw in [0.0, 1.0, f64::NAN] {
         let urgency = Urgency { organisation: 9, route: 9 };
         let (service, route) = (&vm.service, &vm.route);
-        let ask = LoadAsk { service, figures, route, urgency, left: None, draw };
+        let ask = AdmissionRequest { service, figures, route, urgency, left: None, draw };
 
-        assert_eq!(vm.load.admit(vm.views(Duration::ZERO), ask), Ok(()), "{draw}");
+        assert_eq!(vm.load.admit(vm.routing_context(Duration::ZERO), ask), Ok(()), "{draw}");
     }
 }
 
 #[test]
 fn requests_are_counted_by_rank_and_end_and_absurd_ranks_as_the_last() {
     let metrics = LadderMetrics::default();
-    let late = NotLetIn { fullness: 1.0, is_late: true };
+    let late = NotAdmitted { fullness: 1.0, is_late: true };
     let of = |organisation| Urgency { organisation, route: 0 };
 
     metrics.on_asked("gen", of(1), Ok(()));
-    metrics.on_asked("gen", of(1), Err(NotLetIn { is_late: false, ..late }));
+    metrics.on_asked("gen", of(1), Err(NotAdmitted { is_late: false, ..late }));
     (0..200).for_each(|rank| metrics.on_asked("gen", of(50 + rank), Err(late)));
 
     let count = |rank, end| {
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -8,12 +8,12 @@
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
 use sillbank_fleet::prelude::*;
-use sillbank_gateway::endpoints::{EndpointBook, Share};
-use sillbank_gateway::feed::{EngineState, HallBoard};
+use sillbank_gateway::endpoints::{EndpointTracker, RequestPart};
+use sillbank_gateway::feed::{EngineState, HallReport};
 use sillbank_gateway::hall::Hall;
-use sillbank_gateway::knowledge::Knowledge;
 use sillbank_gateway::mechanisms::Mechanisms;
-use sillbank_gateway::paths::{PathAsk, Views, choose_path, risked_engine};
+use sillbank_gateway::paths::{PathRequest, RoutingContext, choose_path, isolation_engine};
+use sillbank_gateway::platform_view::PlatformView;
 use sillbank_gateway::revision::Revision;
 use sillbank_gateway::store::Snapshot;
 use sillbank_layers::prelude::*;
@@ -71,13 +71,13 @@
 }
 
 /// What the leader of a hall of one VM tells of its engines.
-fn board(hall: &str, engines: Vec<EngineState>) -> HallBoard {
-    HallBoard {
+fn board(hall: &str, engines: Vec<EngineState>) -> HallReport {
+    HallReport {
         hall: hall.to_owned(),
         age_ms: 0,
         vms: 1,
         leader: "10.0.0.1:7000".parse().expect("an address"),
-        is_whole: true,
+        is_complete: true,
         engines,
         demand: None,
     }
@@ -87,21 +87,21 @@
 fn path_beside(
     records: &[EndpointRecord],
     engines: Vec<EngineState>,
-    book: &Rc<EndpointBook>,
+    endpoint_tracker: &Rc<EndpointTracker>,
     chance: &Chance,
 ) -> Option<LayerPath> {
     let now = Instant::now();
-    let vm = Vm { book: book.clone(), ..Vm::new(chance) };
+    let vm = Vm { endpoint_tracker: endpoint_tracker.clone(), ..Vm::new(chance) };
     vm.knows(records);
-    vm.hall.boards.keep(now, board(HOME, engines));
-    path_by(&service(), vm.views(now))
+    vm.hall.reports.insert(now, board(HOME, engines));
+    path_by(&service(), vm.routing_context(now))
 }
 
 /// What a VM chooses paths by.
 struct Vm {
-    knowledge: Knowledge,
+    platform: PlatformView,
     hall: Hall,
-    book: Rc<EndpointBook>,
+    endpoint_tracker: Rc<EndpointTracker>,
     pushback: RefCell<PushbackBook>,
     chance: Chance,
 }
@@ -110,9 +110,9 @@
     /// It knows nothing yet.
     fn new(chance: &Chance) -> Self {
         Self {
-            knowledge: Knowledge::new(Duration::from_secs(5)),
+            platform: PlatformView::new(Duration::from_secs(5)),
             hall: Hall::new(chance.clone()),
-            book: Rc::default(),
+            endpoint_tracker: Rc::default(),
             pushback: RefCell::default(),
             chance: chance.clone(),
         }
@@ -120,13 +120,22 @@
 
     fn knows(&self, records: &[EndpointRecord]) {
         let list = Snapshot { at: Revision::new(1, 1), value: records.to_vec() };
-        self.knowledge.take_endpoints(Instant::now(), list);
+        self.platform.apply_listing(Instant::now(), list);
     }
 
-    fn views(&self, now: Instant) -> Views<'_> {
-        let (knowledge, hall, book) = (&self.knowledge, &self.hall, &*self.book);
+    fn routing_context(&self, now: Instant) -> RoutingContext<'_> {
+        let (platform, hall, endpoint_tracker) =
+            (&self.platform, &self.hall, &*self.endpoint_tracker);
         let (pushback, chance) = (&self.pushback, &self.chance);
-        Views { knowledge, hall, book, pushback, mechanisms: Mechanisms::default(), chance, now }
+        RoutingContext {
+            platform,
+            hall,
+            endpoint_tracker,
+            pushback,
+            mechanisms: Mechanisms::default(),
+            chance,
+            now,
+        }
     }
 }
 
@@ -134,11 +143,11 @@
     Chance::with_seed(SEEDS.start)
 }
 
-fn path_by(service: &Service, views: Views<'_>) -> Option<LayerPath> {
+fn path_by(service: &Service, context: RoutingContext<'_>) -> Option<LayerPath> {
     let figures = service.engine.as_ref().expect("it has one");
     let demand = Demand::usual(figures);
-    let ask = PathAsk { service, figures, home: HOME, avoid: &[], demand };
-    choose_path(views, ask)
+    let ask = PathRequest { service, figures, home: HOME, avoid: &[], demand };
+    choose_path(context, ask)
 }
 
 #[test]
@@ -244,14 +253,14 @@
     // Arrange: an engine that reports no use, and a request of this VM that takes all it has.
     let records = [record("first", "slow", 0, 10), record("last", "slow", 10, 20)];
     let engines = || records.iter().map(idle).collect::<Vec<_>>();
-    let book = Rc::<EndpointBook>::default();
-    let whole = Share { endpoint: "last".to_owned(), kv: 1e12 };
+    let endpoint_tracker = Rc::<EndpointTracker>::default();
+    let whole = RequestPart { endpoint: "last".to_owned(), kv: 1e12 };
 
     // Act
-    let in_flight = book.begin(vec![whole], Instant::now());
-    let beside_it = path_beside(&records, engines(), &book, &chance());
+    let in_flight = endpoint_tracker.start(vec![whole], Instant::now());
+    let beside_it = path_beside(&records, engines(), &endpoint_tracker, &chance());
     drop(in_flight);
-    let after_it = path_beside(&records, engines(), &book, &chance());
+    let after_it = path_beside(&records, engines(), &endpoint_tracker, &chance());
 
     // Assert
     assert_eq!(beside_it, None);
@@ -276,8 +285,8 @@
     let now = Instant::now();
     let vm = Vm::new(&chance());
     vm.knows(&records);
-    vm.hall.boards.keep(now, board(HOME, records.iter().map(idle).collect()));
-    let views = vm.views(now);
+    vm.hall.reports.insert(now, board(HOME, records.iter().map(idle).collect()));
+    let context = vm.routing_context(now);
     let spoils: [fn(&mut EngineFigures); 6] = [
         |figures| figures.kv_token_bytes = 0.0,
         |figures| figures.layer_mb = 1e12,
@@ -291,7 +300,7 @@
         // Act
         let mut service = service();
         spoil(service.engine.as_mut().expect("it has one"));
-        let path = path_by(&service, views);
+        let path = path_by(&service, context);
 
         // Assert
         assert!(path.is_some(), "figures {number}");
@@ -308,10 +317,10 @@
     let full = |record: &EndpointRecord, kv_permille| {
         board(&record.hall, vec![EngineState { kv_permille, ..idle(record) }])
     };
-    vm.hall.boards.keep(now, full(&at_home, at_home_permille));
-    vm.hall.boards.keep(now, full(&elsewhere, elsewhere_permille));
+    vm.hall.reports.insert(now, full(&at_home, at_home_permille));
+    vm.hall.reports.insert(now, full(&elsewhere, elsewhere_permille));
     vm.knows(&[at_home, elsewhere]);
-    path_by(&service(), vm.views(now))
+    path_by(&service(), vm.routing_context(now))
 }
 
 #[test]
@@ -354,7 +363,7 @@
 fn one_first_engine_is_risked_for_a_request_that_may_end_it_and_never_the_only_one() {
     let ids = |ids: &[&str]| ids.iter().map(|id| (*id).to_owned()).collect::<Vec<_>>();
     let risked = |firsts: &[&str], tried: &[&str]| {
-        risked_engine(&ids(firsts), &ids(tried)).map(String::as_str).map(str::to_owned)
+        isolation_engine(&ids(firsts), &ids(tried)).map(String::as_str).map(str::to_owned)
     };
 
     assert_eq!(risked(&["e1", "e2", "e3"], &[]).as_deref(), Some("e1"));
@@ -373,14 +382,15 @@
     ];
     let vm = Vm::new(&chance());
     vm.knows(&records);
-    vm.hall.boards.keep(now, board(HOME, records.iter().map(idle).collect()));
+    vm.hall.reports.insert(now, board(HOME, records.iter().map(idle).collect()));
     let rest = Pushback { rest: RestWord::For(Duration::from_secs(3)), ..Pushback::default() };
     for engine in ["near", "last"] {
         vm.pushback.borrow_mut().on_answer(engine, None, rest, 0.5, now);
     }
 
-    let path = path_by(&service(), vm.views(now)).expect("there is one");
-    let later = path_by(&service(), vm.views(now + Duration::from_secs(3))).expect("there is one");
+    let path = path_by(&service(), vm.routing_context(now)).expect("there is one");
+    let later = path_by(&service(), vm.routing_context(now + Duration::from_secs(3)))
+        .expect("there is one");
 
     let ids = |path: &LayerPath| -> Vec<EndpointId> {
         path.parts().iter().map(|part| part.endpoint.clone()).collect()
--- a/crates/sillbank_gateway/tests/reports.rs
+++ b/crates/sillbank_gateway/tests/reports.rs
@@ -1,6 +1,6 @@
 //! When engines are asked for reports, and when one is lost by what comes of that.
 
-use sillbank_gateway::placement::{KnownEngine, ReportOutcome, ReportRounds};
+use sillbank_gateway::placement::{ReportOutcome, ReportSchedule, TrackedEngine};
 use sillbank_gateway::prelude::EngineReport;
 use std::time::{Duration, Instant};
 
@@ -18,8 +18,8 @@
     })
 }
 
-fn well() -> KnownEngine {
-    let mut engine = KnownEngine::default();
+fn well() -> TrackedEngine {
+    let mut engine = TrackedEngine::default();
     engine.on_asked(report(), false);
     engine
 }
@@ -69,9 +69,12 @@
 const INTERVAL: Duration = Duration::from_millis(700);
 
 /// Rounds of which the last began `ago` before `now`.
-fn rounds_begun(now: Instant, ago: Duration, found_engines: bool) -> ReportRounds {
-    let mut rounds = ReportRounds::default();
-    rounds.on_begun(now.checked_sub(ago).expect("the machine has run for a while"), found_engines);
+fn rounds_begun(now: Instant, ago: Duration, found_engines: bool) -> ReportSchedule {
+    let mut rounds = ReportSchedule::default();
+    rounds.on_round_started(
+        now.checked_sub(ago).expect("the machine has run for a while"),
+        found_engines,
+    );
     rounds
 }
 
@@ -80,7 +83,7 @@
     let now = Instant::now();
     let is_due = |ago| rounds_begun(now, ago, true).is_due(now, INTERVAL, true);
 
-    assert!(ReportRounds::default().is_due(now, INTERVAL, false));
+    assert!(ReportSchedule::default().is_due(now, INTERVAL, false));
     assert!(!is_due(INTERVAL / 2));
     assert!(is_due(INTERVAL));
 }
--- a/crates/sillbank_gateway/tests/restored_store.rs
+++ b/crates/sillbank_gateway/tests/restored_store.rs
@@ -3,8 +3,8 @@
 use arbitrary::Unstructured;
 use sillbank_catalog::prelude::*;
 use sillbank_fleet::prelude::*;
-use sillbank_gateway::freshness::REWRITTEN_WITHIN;
-use sillbank_gateway::knowledge::Knowledge;
+use sillbank_gateway::freshness::RESTORE_SETTLE_TIME;
+use sillbank_gateway::platform_view::PlatformView;
 use sillbank_gateway::revision::{Era, Revision};
 use sillbank_gateway::store::Snapshot;
 use sillbank_testing::for_fixed_seeds;
@@ -38,18 +38,18 @@
 }
 
 /// A VM that knows two endpoints and a configuration.
-fn knowledge(now: Instant) -> Knowledge {
-    let knowledge = Knowledge::new(REVOCATION);
+fn platform(now: Instant) -> PlatformView {
+    let platform = PlatformView::new(REVOCATION);
     let parts = CatalogParts { version: 3, ..CatalogParts::default() };
     let catalog = Catalog::new(parts.clone()).expect("it is valid");
-    knowledge.offer_catalog(catalog, parts);
-    knowledge.confirm_catalog(now, KNOWN);
-    knowledge.take_endpoints(now, Snapshot { at: KNOWN, value: ready() });
-    knowledge
+    platform.offer_catalog(catalog, parts);
+    platform.confirm_catalog(now, KNOWN);
+    platform.apply_listing(now, Snapshot { at: KNOWN, value: ready() });
+    platform
 }
 
-fn is_usable(knowledge: &Knowledge, id: &str) -> bool {
-    knowledge.endpoints(|directory| directory.usable(id).is_some())
+fn is_usable(platform: &PlatformView, id: &str) -> bool {
+    platform.endpoints(|directory| directory.usable(id).is_some())
 }
 
 /// What a leader with a directory of its own tells a VM that has seen nothing of it.
@@ -63,84 +63,84 @@
 #[test]
 fn an_endpoint_that_leaves_at_a_lower_number_of_a_new_era_gets_nothing_new() {
     let now = Instant::now();
-    let knowledge = knowledge(now);
+    let platform = platform(now);
 
-    knowledge.take_endpoints(now, Snapshot { at: COPY, value: ready() });
+    platform.apply_listing(now, Snapshot { at: COPY, value: ready() });
     let changes = Snapshot { at: Revision::new(2, 146), value: vec![leaving("a")] };
-    knowledge.take_changes(now, changes);
+    platform.apply_changes(now, changes);
 
-    assert!(!is_usable(&knowledge, "a"));
-    assert!(is_usable(&knowledge, "b"));
-    assert_eq!(knowledge.endpoints_at(), Revision::new(2, 146));
+    assert!(!is_usable(&platform, "a"));
+    assert!(is_usable(&platform, "b"));
+    assert_eq!(platform.endpoints_at(), Revision::new(2, 146));
 }
 
 /// The same by a leader that has noticed the restore before this VM.
 #[test]
 fn a_leader_of_a_new_era_is_believed() {
     let now = Instant::now();
-    let (knowledge, mut replication) = (knowledge(now), Replication::default());
+    let (platform, mut replication) = (platform(now), Replication::default());
     let records = vec![record("a", Standing::Leaving), record("b", Standing::Ready)];
 
-    knowledge.take_told(&mut replication, COPY, told(records), true);
+    platform.apply_difference(&mut replication, COPY, told(records), true);
 
-    assert!(!is_usable(&knowledge, "a"));
-    assert_eq!(knowledge.endpoints_at(), COPY);
+    assert!(!is_usable(&platform, "a"));
+    assert_eq!(platform.endpoints_at(), COPY);
 }
 
 #[test]
 fn a_leader_of_an_era_that_is_over_is_not_believed_whatever_its_number() {
     let now = Instant::now();
-    let (knowledge, mut replication) = (knowledge(now), Replication::default());
-    knowledge.take_endpoints(now, Snapshot { at: COPY, value: ready() });
-    knowledge.take_changes(now, Snapshot { at: COPY, value: vec![leaving("a")] });
+    let (platform, mut replication) = (platform(now), Replication::default());
+    platform.apply_listing(now, Snapshot { at: COPY, value: ready() });
+    platform.apply_changes(now, Snapshot { at: COPY, value: vec![leaving("a")] });
 
-    knowledge.take_told(&mut replication, Revision::new(1, 900), told(ready()), true);
+    platform.apply_difference(&mut replication, Revision::new(1, 900), told(ready()), true);
 
-    assert!(!is_usable(&knowledge, "a"));
-    assert_eq!(knowledge.endpoints_at(), COPY);
+    assert!(!is_usable(&platform, "a"));
+    assert_eq!(platform.endpoints_at(), COPY);
 }
 
 #[test]
 fn what_this_vm_heard_itself_outlasts_the_copy_and_a_leader_that_does_not_know() {
     let now = Instant::now();
-    let (knowledge, mut replication) = (knowledge(now), Replication::default());
-    knowledge.take_changes(now, Snapshot { at: KNOWN, value: vec![leaving("a")] });
+    let (platform, mut replication) = (platform(now), Replication::default());
+    platform.apply_changes(now, Snapshot { at: KNOWN, value: vec![leaving("a")] });
 
-    knowledge.take_endpoints(now, Snapshot { at: COPY, value: ready() });
-    let by_store = is_usable(&knowledge, "a");
-    knowledge.take_told(&mut replication, Revision::new(2, 140), told(ready()), true);
+    platform.apply_listing(now, Snapshot { at: COPY, value: ready() });
+    let by_store = is_usable(&platform, "a");
+    platform.apply_difference(&mut replication, Revision::new(2, 140), told(ready()), true);
 
     assert!(!by_store);
-    assert!(!is_usable(&knowledge, "a"));
-    assert_eq!(knowledge.take_held_back(), vec!["a".to_owned()]);
+    assert!(!is_usable(&platform, "a"));
+    assert_eq!(platform.take_held_back(), vec!["a".to_owned()]);
 }
 
 #[test]
 fn a_copy_confirms_no_configuration_until_the_operator_has_written_again() {
     let now = Instant::now();
-    let knowledge = knowledge(now);
-    let settled = Instant::now() + REWRITTEN_WITHIN;
+    let platform = platform(now);
+    let settled = Instant::now() + RESTORE_SETTLE_TIME;
 
-    knowledge.confirm_catalog_by_store(now + Duration::from_millis(500), COPY);
+    platform.confirm_catalog_by_store(now + Duration::from_millis(500), COPY);
     let noticed = Instant::now();
-    let early = knowledge.catalog_confirmed();
-    knowledge.confirm_catalog_by_store(settled - Duration::from_millis(1), COPY);
-    let still_early = knowledge.catalog_confirmed();
-    knowledge.confirm_catalog_by_store(noticed + REWRITTEN_WITHIN, COPY);
+    let early = platform.catalog_confirmed();
+    platform.confirm_catalog_by_store(settled - Duration::from_millis(1), COPY);
+    let still_early = platform.catalog_confirmed();
+    platform.confirm_catalog_by_store(noticed + RESTORE_SETTLE_TIME, COPY);
 
     assert_eq!((early, still_early), (Some(now), Some(now)));
-    assert_eq!(knowledge.catalog_confirmed(), Some(noticed + REWRITTEN_WITHIN));
-    assert_eq!(knowledge.catalog_at(), COPY);
+    assert_eq!(platform.catalog_confirmed(), Some(noticed + RESTORE_SETTLE_TIME));
+    assert_eq!(platform.catalog_at(), COPY);
 }
 
 #[test]
 fn the_first_era_that_a_vm_hears_of_is_no_restore() {
     let now = Instant::now();
-    let knowledge = Knowledge::new(REVOCATION);
+    let platform = PlatformView::new(REVOCATION);
 
-    knowledge.confirm_catalog_by_store(now, COPY);
+    platform.confirm_catalog_by_store(now, COPY);
 
-    assert_eq!(knowledge.catalog_confirmed(), Some(now));
+    assert_eq!(platform.catalog_confirmed(), Some(now));
 }
 
 /// One state of the store's list, as of an era and a number.
@@ -156,8 +156,8 @@
 fn lists_of_several_eras_in_any_order_leave_the_newest_in_force() {
     for_fixed_seeds(2_000, 512, |u| {
         let now = Instant::now();
-        let (knowledge, mut replications) =
-            (knowledge(now), [(); 2].map(|()| Replication::default()));
+        let (platform, mut replications) =
+            (platform(now), [(); 2].map(|()| Replication::default()));
         let states = states(u)?;
         let mut newest = KNOWN;
         let mut has_heard = false;
@@ -166,17 +166,17 @@
             let standing = if state.has_left { Standing::Leaving } else { Standing::Ready };
             let records = vec![record("a", standing), record("b", Standing::Ready)];
             match u.int_in_range(0..=2)? {
-                2 => drop(knowledge.take_endpoints(now, Snapshot { at: state.at, value: records })),
+                2 => drop(platform.apply_listing(now, Snapshot { at: state.at, value: records })),
                 leader => {
                     let replication = &mut replications[leader];
                     *replication = Replication::default();
-                    knowledge.take_told(replication, state.at, told(records), true);
+                    platform.apply_difference(replication, state.at, told(records), true);
                 }
             }
             has_heard |= state.has_left && state.at >= newest;
             newest = newest.max(state.at);
-            assert_eq!(knowledge.endpoints_at(), newest);
-            assert!(!(has_heard && is_usable(&knowledge, "a")), "it left and is used");
+            assert_eq!(platform.endpoints_at(), newest);
+            assert!(!(has_heard && is_usable(&platform, "a")), "it left and is used");
         }
         Ok(())
     });
