--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -2,10 +2,12 @@
 
 use sillbank_core::chance::Chance;
 use sillbank_gateway::backoff::{Backoff, Pause};
-use sillbank_gateway::freshness::{Freshness, NEED_POLL, NEWS_WAIT, confirmed_by_watch};
+use sillbank_gateway::freshness::{
+    Freshness, LONG_POLL_WAIT, SOURCE_CHECK_INTERVAL, confirmed_by_watch,
+};
 use sillbank_gateway::hall::Hall;
 use sillbank_gateway::revision::Revision;
-use sillbank_gateway::sources::{Followed, SourceNeed, SourceView, is_told};
+use sillbank_gateway::sources::{SourceNeed, SourceState, WatchKind, relies_on_leader};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -19,7 +21,7 @@
 /// Pause between two asks of a leader to the leader of another hall.
 const OTHER_HALL_PAUSE: Duration = Duration::from_millis(100);
 /// A VM's strength; nobody is stronger, so nobody else comes to lead.
-const STRENGTH: f64 = 1.0;
+const LEADER_SCORE: f64 = 1.0;
 /// Names of halls, in the order in which leaders rely on each other.
 const HALLS: [&str; 5] = ["a", "b", "c", "d", "e"];
 
@@ -98,10 +100,10 @@
         let new = |at: usize| {
             let place = VmPlace { hall: at / vms, number: at % vms, leads: at.is_multiple_of(vms) };
             let hall = Hall::new(chance.clone());
-            hall.note_hall_vms(vms as u32);
+            hall.record_hall_vms(vms as u32);
             match place.leads {
-                true => hall.tells.set(Some(Revision::new(1, 1))),
-                false => hall.on_news(began, Some(began), true),
+                true => hall.acting_fence.set(Some(Revision::new(1, 1))),
+                false => hall.on_leader_update(began, Some(began), true),
             }
             Vm {
                 place,
@@ -194,13 +196,13 @@
         }
     }
 
-    fn view(&self, vm: &Vm) -> SourceView {
+    fn view(&self, vm: &Vm) -> SourceState {
         let own = HALLS[vm.place.hall];
-        SourceView {
+        SourceState {
             leader_is_live: vm.hall.leader_is_live(self.now),
             leader_holds_lease: vm.hall.leader_holds_lease(self.now),
-            leader_suffices: vm.hall.leader_suffices(self.now, self.freshness)
-                || vm.hall.senior_suffices(own, self.now, self.freshness),
+            leader_is_fresh: vm.hall.leader_is_fresh(self.now, self.freshness)
+                || vm.hall.upstream_is_fresh(own, self.now, self.freshness),
             is_source: vm.hall.is_source(self.now),
             has_catalog: true,
             store_is_reached: vm.store_is_reached,
@@ -212,16 +214,16 @@
     fn follow(&mut self, at: usize) {
         let now = self.now;
         let view = self.view(&self.vms[at]);
-        let leader_wait = self.freshness.leader_wait;
+        let watch_wait = self.freshness.watch_wait;
         let vm = &mut self.vms[at];
         match &vm.following {
             Following::Resting(until) if now < *until => {}
-            Following::Resting(_) if is_told(Followed::Catalog, view) => {
+            Following::Resting(_) if relies_on_leader(WatchKind::Catalog, view) => {
                 vm.was_told = true;
-                vm.following = Following::Resting(now + NEED_POLL);
+                vm.following = Following::Resting(now + SOURCE_CHECK_INTERVAL);
             }
             Following::Resting(_) => {
-                let wait = if vm.was_told || vm.has_failed { FIRST_WAIT } else { leader_wait };
+                let wait = if vm.was_told || vm.has_failed { FIRST_WAIT } else { watch_wait };
                 vm.was_told = false;
                 vm.calls += 1;
                 let takes = match vm.sees {
@@ -255,7 +257,7 @@
 
     /// Whether an ask of a VM to another is answered now: it is confirmed anew, or the ask was held long enough.
     fn is_answered(&self, asked: Instant, by: usize, known: Instant) -> bool {
-        self.vms[by].confirmed > known || self.now >= asked + NEWS_WAIT
+        self.vms[by].confirmed > known || self.now >= asked + LONG_POLL_WAIT
     }
 
     fn ask_leader(&mut self, at: usize) {
@@ -264,7 +266,7 @@
         let asked = self.vms[at].asked;
         let (hall, confirmed_age) = (&self.vms[leader].hall, now - known);
         if asked + STEP >= now {
-            hall.on_asker(&at.to_string(), address(at), STRENGTH, Some(confirmed_age), now);
+            hall.on_follower(&at.to_string(), address(at), LEADER_SCORE, Some(confirmed_age), now);
         }
         if !self.is_answered(asked, leader, known) {
             return;
@@ -272,7 +274,7 @@
         let told = self.vms[leader].confirmed;
         let holds_lease = self.vms[leader].store_is_reached;
         let vm = &mut self.vms[at];
-        vm.hall.on_news(now, Some(told), holds_lease);
+        vm.hall.on_leader_update(now, Some(told), holds_lease);
         vm.confirmed = vm.confirmed.max(told);
         vm.asked = now;
     }
@@ -283,7 +285,7 @@
         let vm = &self.vms[at];
         let need = SourceNeed {
             confirmed: vm.confirmed,
-            enough_for: self.freshness.enough_for,
+            max_staleness: self.freshness.max_staleness,
             store_is_reached: vm.store_is_reached,
         };
         let source = need.choose(&vm.hall, now, vm.source);
@@ -294,7 +296,7 @@
         if let Some(source) = source.map(index) {
             let asked = self.vms[at].asked;
             if asked + STEP >= now {
-                self.vms[source].hall.on_asked_as_source(now);
+                self.vms[source].hall.on_source_request(now);
             }
             if self.is_answered(asked, source, self.vms[at].confirmed) {
                 self.vms[at].confirmed = self.vms[at].confirmed.max(self.vms[source].confirmed);
@@ -309,9 +311,9 @@
             let teller = &self.vms[other];
             let own = HALLS[teller.place.hall];
             let follows_store =
-                teller.store_is_reached && !teller.hall.senior_suffices(own, now, self.freshness);
+                teller.store_is_reached && !teller.hall.upstream_is_fresh(own, now, self.freshness);
             let told = teller.confirmed;
-            self.vms[at].hall.on_other_news(own, now, Some(told), follows_store);
+            self.vms[at].hall.on_other_leader_update(own, now, Some(told), follows_store);
             self.vms[at].confirmed = self.vms[at].confirmed.max(told);
         }
     }
--- a/crates/sillbank_gateway/tests/targets.rs
+++ b/crates/sillbank_gateway/tests/targets.rs
@@ -2,7 +2,7 @@
 
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
-use sillbank_gateway::placement::{Chains, EngineView, Target, first_targets, mended_targets};
+use sillbank_gateway::placement::{Chains, EngineView, Target, initial_targets, repair_targets};
 use sillbank_gateway::prelude::*;
 use sillbank_testing::for_fixed_seeds;
 
@@ -82,7 +82,7 @@
         let engines = hall(counts);
 
         let targets =
-            first_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
+            initial_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
         let after = carried_out(&engines, &targets);
 
         assert_within_memory(&after);
@@ -95,7 +95,7 @@
 fn a_large_hall_holds_the_model_more_than_once() {
     let engines = hall([2, 13, 22]);
 
-    let targets = first_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
+    let targets = initial_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
     let after = carried_out(&engines, &targets);
 
     assert!((0..LAYERS).all(|layer| holders(&after, layer) >= 2));
@@ -104,7 +104,7 @@
 #[test]
 fn the_loss_of_any_one_engine_is_mended_by_few_moves() {
     let engines = hall([1, 7, 5]);
-    let targets = first_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
+    let targets = initial_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
     let placed = carried_out(&engines, &targets);
 
     for lost in 0..placed.len() {
@@ -113,7 +113,7 @@
         let mut moves = 0;
         for _ in 0..5 {
             let targets =
-                mended_targets(&left, &figures(), &mut Chains::new(), LOAD).expect("it fits");
+                repair_targets(&left, &figures(), &mut Chains::new(), LOAD).expect("it fits");
             moves += targets.len();
             left = carried_out(&left, &targets);
         }
@@ -127,10 +127,10 @@
 #[test]
 fn nothing_moves_in_calm_times() {
     let engines = hall([3, 3, 5]);
-    let targets = first_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
+    let targets = initial_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
     let placed = carried_out(&engines, &targets);
 
-    let moves = mended_targets(&placed, &figures(), &mut Chains::new(), LOAD).expect("it fits");
+    let moves = repair_targets(&placed, &figures(), &mut Chains::new(), LOAD).expect("it fits");
 
     assert_eq!(moves, vec![]);
 }
@@ -141,7 +141,7 @@
         let counts = [u.int_in_range(0..=3)?, u.int_in_range(2..=8)?, u.int_in_range(2..=9)?];
         let mut engines = hall(counts);
         let mut chains = Chains::new();
-        let Some(targets) = first_targets(&engines, &figures(), &mut chains, true) else {
+        let Some(targets) = initial_targets(&engines, &figures(), &mut chains, true) else {
             return Ok(());
         };
         engines = carried_out(&engines, &targets);
@@ -152,7 +152,7 @@
                 let at = u.int_in_range(0..=engines.len() - 1)?;
                 engines[at].serves = None;
             }
-            if let Some(targets) = mended_targets(&engines, &figures(), &mut chains, LOAD) {
+            if let Some(targets) = repair_targets(&engines, &figures(), &mut chains, LOAD) {
                 engines = carried_out(&engines, &targets);
                 assert!(engines.is_empty() || (0..LAYERS).all(|l| holders(&engines, l) >= 1));
             }
@@ -172,7 +172,7 @@
     engines[8].ordered = Some(LayerRange { first: 0, end: 10 });
     engines[8].order_under_way = true;
 
-    let targets = mended_targets(&engines, &figures(), &mut Chains::new(), LOAD).expect("it fits");
+    let targets = repair_targets(&engines, &figures(), &mut Chains::new(), LOAD).expect("it fits");
 
     assert!(targets.iter().all(|target| target.endpoint != "l4-8"));
     assert!(targets.iter().all(|target| target.give_up == GiveUp::WhenUnused));
@@ -186,7 +186,7 @@
     let engines = hall([20, 150, 163]);
     let mut chains = Chains::new();
 
-    let targets = first_targets(&engines, &figures(), &mut chains, true).expect("it fits");
+    let targets = initial_targets(&engines, &figures(), &mut chains, true).expect("it fits");
 
     let mut lengths: std::collections::BTreeMap<usize, usize> = std::collections::BTreeMap::new();
     for target in &targets {
@@ -210,7 +210,7 @@
 fn kinds_of_first_chain(figures: &EngineFigures) -> Vec<String> {
     let engines = hall([8, 20, 22]);
     let mut chains = Chains::new();
-    first_targets(&engines, figures, &mut chains, true).expect("it fits");
+    initial_targets(&engines, figures, &mut chains, true).expect("it fits");
     let of_first = engines.iter().filter(|engine| chains.get(&engine.id) == Some(&0));
     let mut kinds: Vec<String> = of_first.map(|engine| engine.kind.clone()).collect();
     kinds.dedup();
@@ -236,7 +236,7 @@
     for paces in [[f64::NAN; 3], [0.0; 3], [f64::INFINITY, 1.0, f64::NAN], [-1.0, 1e300, 0.0]] {
         let engines = hall([2, 13, 22]);
 
-        let targets = first_targets(&engines, &figures_of_paces(paces), &mut Chains::new(), true)
+        let targets = initial_targets(&engines, &figures_of_paces(paces), &mut Chains::new(), true)
             .expect("it fits");
         let after = carried_out(&engines, &targets);
 
