--- a/crates/sillbank_gateway/src/backoff.rs
+++ b/crates/sillbank_gateway/src/backoff.rs
@@ -4,7 +4,7 @@
 use crate::hall::Hall;
 use std::time::{Duration, Instant};
 
-/// First pause after a call that failed; doubled up to [`Hall::longest_pause`], and drawn from a part to the
+/// First pause after a call that failed; doubled up to [`Hall::max_retry_pause`], and drawn from a part to the
 /// whole of that, so that VMs do not come back all at once. The one that tells its hall takes the longest whole.
 const PAUSE_MIN: Duration = Duration::from_millis(100);
 /// Shortest part of a pause that is drawn. At a half, the VMs of a hall that had all called in vain
--- a/crates/sillbank_gateway/src/call_tracker.rs
+++ b/crates/sillbank_gateway/src/call_tracker.rs
@@ -1,4 +1,4 @@
-//! What this VM has seen of the endpoints of plain services, by service.
+//! Answer times and refusals of the endpoints of plain services, by service.
 
 use sillbank_admission::calls::CallTimes;
 use sillbank_core::prelude::*;
@@ -6,14 +6,14 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Times of answers and refusals of plain services' endpoints.
+/// Observed answer times and refusals by service.
 #[derive(Debug, Default)]
 pub struct CallTracker {
     by_service: RefCell<HashMap<ServiceId, CallTimes>>,
 }
 
 impl CallTracker {
-    /// Looks at, or changes, what was seen of a service's endpoints.
+    /// Reads or changes what was observed of a service's endpoints.
     pub fn with<T>(&self, service: &str, change: impl FnOnce(&mut CallTimes) -> T) -> T {
         let mut by_service = self.by_service.borrow_mut();
         if let Some(times) = by_service.get_mut(service) {
@@ -22,57 +22,62 @@
         change(by_service.entry(service.to_owned()).or_default())
     }
 
-    /// Watches a call that is sent to an endpoint; if nothing else is noted of it, its answer did not come while
-    /// somebody waited for it.
-    pub fn watch<'a>(&'a self, service: &'a str, endpoint: &'a str, now: Instant) -> CallWatch<'a> {
-        CallWatch { tracker: self, service, endpoint, sent_at: now, is_noted: false }
+    /// Times a call to an endpoint. If the timer is dropped before an outcome is recorded, the call
+    /// counts as unanswered for as long as its caller waited.
+    pub fn start_timer<'a>(
+        &'a self,
+        service: &'a str,
+        endpoint: &'a str,
+        now: Instant,
+    ) -> CallTimer<'a> {
+        CallTimer { tracker: self, service, endpoint, sent_at: now, is_recorded: false }
     }
 
-    /// Forgets endpoints that are not listed any more.
+    /// Drops endpoints that are no longer listed.
     pub fn retain(&self, is_known: impl Fn(&str) -> bool) {
         let mut by_service = self.by_service.borrow_mut();
         by_service.values_mut().for_each(|times| times.retain(&is_known));
     }
 }
 
-/// A call that was sent, until it is known what came of it.
+/// Times one call until its outcome is recorded.
 #[derive(Debug)]
-pub struct CallWatch<'a> {
+pub struct CallTimer<'a> {
     tracker: &'a CallTracker,
     service: &'a str,
     endpoint: &'a str,
     sent_at: Instant,
-    is_noted: bool,
+    is_recorded: bool,
 }
 
-impl CallWatch<'_> {
-    /// A whole answer came.
-    pub fn on_answer(mut self) {
-        self.note(|times, endpoint, took, now| times.on_answer(endpoint, took, now));
+impl CallTimer<'_> {
+    /// A complete answer arrived.
+    pub fn record_answer(mut self) {
+        self.record(|times, endpoint, took, now| times.on_answer(endpoint, took, now));
     }
 
-    /// The endpoint had no room for it.
-    pub fn on_full(mut self) {
-        self.note(|times, endpoint, _, now| times.on_full(endpoint, now));
+    /// The endpoint had no free slot.
+    pub fn record_full(mut self) {
+        self.record(|times, endpoint, _, now| times.on_full(endpoint, now));
     }
 
-    /// It tells nothing of the endpoint's times: it did not arrive there.
-    pub fn on_nothing(mut self) {
-        self.is_noted = true;
+    /// The call did not reach the endpoint, so it says nothing about its times.
+    pub fn discard(mut self) {
+        self.is_recorded = true;
     }
 
-    fn note(&mut self, change: impl FnOnce(&mut CallTimes, &str, Duration, Instant)) {
+    fn record(&mut self, change: impl FnOnce(&mut CallTimes, &str, Duration, Instant)) {
         let now = Instant::now();
         let took = now.saturating_duration_since(self.sent_at);
         self.tracker.with(self.service, |times| change(times, self.endpoint, took, now));
-        self.is_noted = true;
+        self.is_recorded = true;
     }
 }
 
-impl Drop for CallWatch<'_> {
+impl Drop for CallTimer<'_> {
     fn drop(&mut self) {
-        if !self.is_noted {
-            self.note(|times, endpoint, after, now| times.on_unanswered(endpoint, after, now));
+        if !self.is_recorded {
+            self.record(|times, endpoint, after, now| times.on_unanswered(endpoint, after, now));
         }
     }
 }
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls: one answer, read whole before it goes to the caller.
+//! Handles plain calls: one answer, buffered whole before it goes to the caller.
 
 use crate::answers::{give_up, not_before, out_of_time, outcome_of, reply_of};
 use crate::channels::Channel;
@@ -24,24 +24,25 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Longest answer to a call that is held in memory.
+/// Largest answer to a call that is buffered.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// How many times the route's objective a call that may be repeated waits for one endpoint while
-/// another can be asked. Work of the sites known is over in that time but for one in a hundred.
-const PATIENCE: f64 = 1.5;
+/// Timeout of one try of a call that may be retried while another endpoint is available, as a
+/// multiple of the route's objective. On the known deployments 99 % of calls are answered within
+/// it.
+const TRY_TIMEOUT_OBJECTIVES: f64 = 1.5;
 
-/// Answers a call.
+/// Handles one call and returns the reply for its caller.
 pub async fn answer<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
 ) -> Response<ReplyBody> {
-    let watch = CallWatch { gateway, job, ended: std::cell::Cell::new(false) };
+    let guard = CallEndGuard { gateway, job, ended: std::cell::Cell::new(false) };
     let late = async {
         smol::Timer::at(job.deadline).await;
         Err(out_of_time(job.run.get()))
     };
-    let ended = futures_lite::future::or(work(gateway, job), late).await;
-    watch.ended.set(true);
+    let ended = futures_lite::future::or(run(gateway, job), late).await;
+    guard.ended.set(true);
     match ended {
         Ok(reply) => {
             gateway.on_first_answer(job);
@@ -56,14 +57,14 @@
     }
 }
 
-/// Logs a call whose caller left: the future is dropped then.
-struct CallWatch<'a, W: Wire, S: MetadataStore> {
+/// Logs the end of a call whose caller disconnected, in which case the future is dropped.
+struct CallEndGuard<'a, W: Wire, S: MetadataStore> {
     gateway: &'a Gateway<W, S>,
     job: &'a Job,
     ended: std::cell::Cell<bool>,
 }
 
-impl<W: Wire, S: MetadataStore> Drop for CallWatch<'_, W, S> {
+impl<W: Wire, S: MetadataStore> Drop for CallEndGuard<'_, W, S> {
     fn drop(&mut self) {
         if !self.ended.get() {
             self.gateway.on_end(self.job, Outcome::CallerLeft, 0, 0, "the caller left");
@@ -71,15 +72,15 @@
     }
 }
 
-/// An endpoint to send a call to.
+/// The endpoint chosen for a call.
 struct Choice {
     endpoint: EndpointId,
     address: SocketAddr,
-    /// Whether there is another to turn to.
-    has_other: bool,
+    /// Whether another endpoint is available.
+    has_alternative: bool,
 }
 
-async fn work<W: Wire, S: MetadataStore>(
+async fn run<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
 ) -> Result<Response<ReplyBody>, Failure> {
@@ -87,7 +88,7 @@
     let mut tries = Tries::default();
     let mut held: Option<WholeReply> = None;
     loop {
-        let choice = choose(gateway, job, &tried);
+        let choice = choose_endpoint(gateway, job, &tried);
         let withheld_for = gateway.record_withheld(job);
         let choice = match choice {
             Ok(choice) => choice,
@@ -101,21 +102,21 @@
         gateway.count_against_limit(&choice.endpoint);
         let sent_at = Instant::now();
         let (left, reason) = match try_once(gateway, job, &choice).await {
-            Try::Done(reply) => {
+            TryOutcome::Success(reply) => {
                 gateway.on_request_survived(job);
                 return Ok(reply);
             }
-            Try::Failed(whole) => {
+            TryOutcome::Failed(whole) => {
                 gateway.on_request_survived(job);
                 let reason = format!("status {}", whole.reply.status().as_u16());
                 held = Some(whole);
                 (Left::MayHaveRun, reason)
             }
-            Try::NotRun(reason) => (Left::NotRun, reason),
-            Try::Misdirected(reason) => (Left::Misdirected, reason),
-            Try::NotSent(reason) => (Left::NotSent, reason),
-            Try::Late(reason) => (Left::MayHaveRun, reason),
-            Try::Lost(reason) => {
+            TryOutcome::NotRun(reason) => (Left::NotRun, reason),
+            TryOutcome::Misdirected(reason) => (Left::Misdirected, reason),
+            TryOutcome::NotSent(reason) => (Left::NotSent, reason),
+            TryOutcome::Late(reason) => (Left::MayHaveRun, reason),
+            TryOutcome::Lost(reason) => {
                 let (endpoint, address) = (choice.endpoint.clone(), choice.address);
                 let broke_at = Instant::now();
                 let send =
@@ -135,15 +136,16 @@
             },
         );
         tried.push(choice.endpoint);
-        let goes_on = tries.goes_on(gateway, job, left);
-        if !goes_on {
+        let may_retry = tries.goes_on(gateway, job, left);
+        if !may_retry {
             let held = held.map(|whole| whole.reply);
             return held.ok_or_else(|| give_up(job.run.get(), FailureKind::NoChain, &reason));
         }
     }
 }
 
-/// Refuses a call that is sent nowhere, or gives it up if it may have run.
+/// Builds the failure of a call that cannot be sent: a refusal, or a plain failure if it may have
+/// run.
 fn refuse<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
@@ -160,19 +162,21 @@
     }
 }
 
-/// What came of one send.
-enum Try {
+/// Outcome of one send.
+enum TryOutcome {
     /// The whole answer.
-    Done(Response<ReplyBody>),
-    /// The endpoint's own failure, whole.
+    Success(Response<ReplyBody>),
+    /// A failure reported by the endpoint itself.
     Failed(WholeReply),
+    /// The endpoint proved that it did not run the call.
     NotRun(String),
-    /// The endpoint is not the one that was meant.
+    /// The endpoint that answered is not the intended one.
     Misdirected(String),
+    /// The call did not reach the endpoint.
     NotSent(String),
-    /// No answer came while another endpoint could be asked.
+    /// No answer within the try timeout.
     Late(String),
-    /// The connection ended without an answer, or the answer is none.
+    /// The connection broke without an answer, or the answer is invalid.
     Lost(String),
 }
 
@@ -180,33 +184,34 @@
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     choice: &Choice,
-) -> Try {
+) -> TryOutcome {
     let now = Instant::now();
     gateway.decisions.sent(job, &choice.endpoint, None, None, gateway.platform.stamp(now));
     let _in_flight = gateway
         .endpoint_tracker
         .start(vec![RequestPart { endpoint: choice.endpoint.clone(), kv: 0.0 }], now);
     let exchange = exchange(gateway, job, choice);
-    let may_turn = job.may_repeat() && choice.has_other && job.may_send_again(now);
-    if !may_turn {
+    let may_try_another = job.may_repeat() && choice.has_alternative && job.may_send_again(now);
+    if !may_try_another {
         return exchange.await;
     }
-    let patience = job.route.objective.mul_f64(PATIENCE);
-    let impatient = async {
-        smol::Timer::after(patience).await;
+    let try_timeout = job.route.objective.mul_f64(TRY_TIMEOUT_OBJECTIVES);
+    let timeout = async {
+        smol::Timer::after(try_timeout).await;
         gateway.on_evidence(&choice.endpoint, Evidence::Failed, now, "no answer in time");
-        Try::Late(format!("no answer within {} ms", patience.as_millis()))
+        TryOutcome::Late(format!("no answer within {} ms", try_timeout.as_millis()))
     };
-    futures_lite::future::or(exchange, impatient).await
+    futures_lite::future::or(exchange, timeout).await
 }
 
 async fn exchange<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     choice: &Choice,
-) -> Try {
+) -> TryOutcome {
     let to = Destination { endpoint: &choice.endpoint, address: choice.address, path: None };
-    let watch = gateway.call_tracker.watch(&job.service.name, &choice.endpoint, Instant::now());
+    let timer =
+        gateway.call_tracker.start_timer(&job.service.name, &choice.endpoint, Instant::now());
     let sent_at = Instant::now();
     let sent = send(gateway, job, to, None).await;
     if let Some(evidence) = evidence_of(&sent) {
@@ -216,38 +221,38 @@
         Sent::Success(reply, channel) => {
             match whole_answer(gateway, choice, reply, channel).await {
                 Ok(whole) => {
-                    watch.on_answer();
-                    Try::Done(whole.reply)
+                    timer.record_answer();
+                    TryOutcome::Success(whole.reply)
                 }
-                Err(reason) => Try::Lost(reason),
+                Err(reason) => TryOutcome::Lost(reason),
             }
         }
         Sent::Failure(reply, channel) => {
             match whole_answer(gateway, choice, reply, channel).await {
-                Ok(whole) => Try::Failed(whole),
-                Err(reason) => Try::Lost(reason),
+                Ok(whole) => TryOutcome::Failed(whole),
+                Err(reason) => TryOutcome::Lost(reason),
             }
         }
         Sent::NotRun(refusal) => {
             let reason = format!("the endpoint refused with status {}", refusal.status);
             if !refusal.misdirected {
-                watch.on_full();
-                return Try::NotRun(reason);
+                timer.record_full();
+                return TryOutcome::NotRun(reason);
             }
-            watch.on_nothing();
+            timer.discard();
             let endpoint = &choice.endpoint;
             gateway.on_evidence(endpoint, Evidence::Unreachable, sent_at, "misdirected");
-            Try::Misdirected(reason)
+            TryOutcome::Misdirected(reason)
         }
         Sent::NotSent(reason) => {
-            watch.on_nothing();
-            Try::NotSent(reason)
+            timer.discard();
+            TryOutcome::NotSent(reason)
         }
-        Sent::Lost(reason) => Try::Lost(reason),
+        Sent::Lost(reason) => TryOutcome::Lost(reason),
     }
 }
 
-/// Reads an answer whole and keeps its connection.
+/// Reads a whole answer and returns its connection to the pool.
 async fn whole_answer<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     choice: &Choice,
@@ -259,8 +264,8 @@
     Ok(whole)
 }
 
-/// The endpoint that a call goes to: one that was not tried and can end it in time, preferably at home.
-fn choose<W: Wire, S: MetadataStore>(
+/// Chooses an endpoint that was not tried yet and can answer in time, preferably in the local hall.
+fn choose_endpoint<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
     tried: &[EndpointId],
@@ -274,7 +279,7 @@
         let mut records: Vec<_> = usable.filter(|record| !tried.contains(&record.id)).collect();
         let accepts_work =
             |record: &&EndpointRecord| gateway.endpoint_tracker.accepts_work(&record.id, now);
-        // While all are left alone, the least bad is better than none.
+        // If all endpoints are ejected, the least bad one is better than none.
         if records.iter().any(accepts_work) {
             records.retain(accepts_work);
         }
@@ -307,7 +312,7 @@
             true => gateway
                 .call_tracker
                 .with(&job.service.name, |times| times.choose(&candidates, ask, now, draw)),
-            // By what is in flight alone.
+            // By requests in flight alone.
             false => CallTimes::default().choose(&candidates, ask, now, draw),
         };
         match choice {
@@ -315,7 +320,7 @@
             CallChoice::Send(at) => Ok(Choice {
                 endpoint: records[at].id.clone(),
                 address: records[at].address,
-                has_other: records.len() > 1,
+                has_alternative: records.len() > 1,
             }),
         }
     })
--- a/crates/sillbank_gateway/src/counted_store.rs
+++ b/crates/sillbank_gateway/src/counted_store.rs
@@ -1,4 +1,6 @@
-//! A store whose calls are counted by kind: each is priced, and what a fleet may make is bounded.
+//! A store wrapper that counts calls by kind.
+//!
+//! Each call is billed, and the calls of a fleet are bounded.
 
 use crate::metrics::KindLabel;
 use crate::revision::{Era, Revision};
@@ -13,7 +15,7 @@
 /// Calls to the store by kind.
 pub type StoreCalls = Family<KindLabel, Counter>;
 
-/// A store and the counter of its calls.
+/// A store with a counter of its calls.
 #[derive(Debug, Clone)]
 pub struct CountedStore<S> {
     inner: S,
@@ -21,7 +23,7 @@
 }
 
 impl<S> CountedStore<S> {
-    /// Counts the calls of a store.
+    /// Wraps a store.
     pub fn new(inner: S, calls: StoreCalls) -> Self {
         Self { inner, calls }
     }
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -1,7 +1,8 @@
-//! What this VM, its hall and the fleet are asked for.
+//! Demand on this VM, its hall and the fleet.
 //!
-//! Each VM counts its own requests and tells its leader with each ask; the leader adds them up and tells the
-//! sum on with its board. While that is not believed, a VM takes its own rates times the VMs of its hall.
+//! Each VM counts its own requests and reports them to its leader with each feed request. The
+//! leader adds them up and publishes the sum in its hall report. Without a recent report, a VM
+//! estimates the demand on its hall as its own rates times the VMs of the hall.
 
 use crate::decisions::Outcome;
 use crate::feed::{FeedRequest, HallRates, Incarnation};
@@ -18,78 +19,80 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// What a VM counts, and what it adds up while it leads its hall.
+/// Counts the demand on this VM, and adds up that on its hall while it leads.
 #[derive(Debug)]
 pub struct DemandTracker {
     counter: RefCell<DemandCounter>,
-    sum: RefCell<DemandSum>,
-    route_times: RefCell<RouteTimes>,
-    returns: RefCell<HashMap<ServiceId, ReturnTimes>>,
-    /// Where this VM stands among those that tell their first callers to come back, from 0 to 1.
+    aggregator: RefCell<DemandSum>,
+    retry_detector: RefCell<RouteTimes>,
+    schedulers: RefCell<HashMap<ServiceId, ReturnTimes>>,
+    /// Offset of this VM in the schedule of retry times, from 0 to 1, so that VMs do not schedule
+    /// their first retries alike.
     phase: f64,
     is_reported: Cell<bool>,
 }
 
-/// Parts that a VM's phase is told apart in.
+/// Number of distinct phases.
 const PHASES: u64 = 1_000;
 
 impl DemandTracker {
-    /// Nothing counted and nothing heard.
+    /// Creates an empty tracker.
     pub fn new(incarnation: Incarnation, now: Instant) -> Self {
         Self {
             counter: RefCell::new(DemandCounter::new(incarnation, now)),
-            sum: RefCell::new(DemandSum::new(now)),
-            route_times: RefCell::default(),
-            returns: RefCell::default(),
+            aggregator: RefCell::new(DemandSum::new(now)),
+            retry_detector: RefCell::default(),
+            schedulers: RefCell::default(),
             phase: (incarnation % PHASES) as f64 / PHASES as f64,
             is_reported: Cell::new(false),
         }
     }
 
-    fn with_returns<T>(
+    fn with_scheduler<T>(
         &self,
         service: &str,
         now: Instant,
         change: impl FnOnce(&mut ReturnTimes) -> T,
     ) -> T {
-        let mut all = self.returns.borrow_mut();
-        if let Some(returns) = all.get_mut(service) {
-            return change(returns);
+        let mut all = self.schedulers.borrow_mut();
+        if let Some(scheduler) = all.get_mut(service) {
+            return change(scheduler);
         }
-        let mut returns = ReturnTimes::new(now, self.phase);
-        let answer = change(&mut returns);
-        all.insert(service.to_owned(), returns);
+        let mut scheduler = ReturnTimes::new(now, self.phase);
+        let answer = change(&mut scheduler);
+        all.insert(service.to_owned(), scheduler);
         answer
     }
 }
 
-/// What the fleet is asked for of one service, as this VM believes it.
+/// Demand on the fleet for one service, as known to this VM.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetDemand {
     /// Rates over all halls by rank, the most urgent first.
     pub rates: Vec<DemandRate>,
     /// Age of the oldest figures among them.
     pub age: Duration,
-    /// VMs of the halls that they are of.
+    /// VMs of the halls that they cover.
     pub vms: u32,
-    /// Whether leaders told them; if not, those of this hall are this VM's own times its VMs.
+    /// Whether the local hall's leader reported its rates. If not, they are estimated from this
+    /// VM's own.
     pub is_reported: bool,
 }
 
 impl FleetDemand {
-    /// Adds up what halls are asked for. If `home` is not among them, `own` stands for it: the rates of this VM,
-    /// and the VMs of its hall.
+    /// Adds up the demand on all halls. If `local_hall` is not among them, `own` supplies the rates
+    /// of this VM and the number of VMs of its hall.
     pub fn new(
         halls: Vec<HallDemand>,
-        home: &str,
+        local_hall: &str,
         own: impl FnOnce() -> (Vec<DemandRate>, u32),
     ) -> Self {
-        let is_reported = halls.iter().any(|told| told.hall == home);
+        let is_reported = halls.iter().any(|reported| reported.hall == local_hall);
         let mut fleet = Self { rates: Vec::new(), age: Duration::ZERO, vms: 0, is_reported };
-        for told in &halls {
-            add_rates(&mut fleet.rates, &told.rates);
-            fleet.age = fleet.age.max(told.age);
-            fleet.vms += told.vms;
+        for reported in &halls {
+            add_rates(&mut fleet.rates, &reported.rates);
+            fleet.age = fleet.age.max(reported.age);
+            fleet.vms += reported.vms;
         }
         if !is_reported {
             let (rates, vms) = own();
@@ -103,24 +106,25 @@
 }
 
 impl<W: Wire, S> Gateway<W, S> {
-    /// Counts a request that came.
+    /// Counts a request on arrival.
     pub fn count_offered(&self, job: &Job) {
-        let mut route_times = self.demand.route_times.borrow_mut();
-        let is_returning = route_times.is_returning(job.began, &job.route.name, job.head.time_left);
-        let event = if is_returning { Event::Returned } else { Event::Offered };
+        let mut retry_detector = self.demand.retry_detector.borrow_mut();
+        let is_retry = retry_detector.is_returning(job.began, &job.route.name, job.head.time_left);
+        let event = if is_retry { Event::Returned } else { Event::Offered };
         self.count_demand(job, event);
     }
 
-    /// An endpoint took a stream's request. One that it takes up again counts no more for the fleet.
+    /// Records that an endpoint accepted a stream's request. When the stream is resumed later, it
+    /// is not counted for the fleet again.
     pub fn on_admitted(&self, job: &Job) {
         let now = Instant::now();
         self.load.on_sent(&job.service.name, true, now);
-        let note = |returns: &mut ReturnTimes| returns.on_let_in(now, job.priority());
-        self.demand.with_returns(&job.service.name, now, note);
+        let record = |scheduler: &mut ReturnTimes| scheduler.on_let_in(now, job.priority());
+        self.demand.with_scheduler(&job.service.name, now, record);
         self.count_once(job, Event::LetIn);
     }
 
-    /// Counts what became of a request that has ended.
+    /// Counts the outcome of a finished request.
     pub fn count_end(&self, job: &Job, outcome: Outcome) {
         match outcome {
             Outcome::Refused => self.count_once(job, Event::Refused),
@@ -131,7 +135,7 @@
         }
     }
 
-    /// When the caller of a request that is refused for want of room should come back.
+    /// When the caller of a request that is refused for lack of room should retry.
     pub fn retry_after(&self, job: &Job) -> Duration {
         let now = Instant::now();
         let refusal =
@@ -139,16 +143,16 @@
         self.retry_after_for(&job.service.name, refusal, now)
     }
 
-    /// When the caller of a refused request of a service should come back.
+    /// When the caller of a refused request of a service should retry.
     pub fn retry_after_for(&self, service: &str, refusal: Refusal, now: Instant) -> Duration {
         let fleet = self.fleet_demand(service, now);
         let is_used = fleet.is_reported && self.settings.borrow().mechanisms.fleet_demand;
         let flow = is_used.then_some(FleetFlow { rates: &fleet.rates, vms: fleet.vms });
-        let tell = |returns: &mut ReturnTimes| returns.on_refused(now, refusal, flow);
-        self.demand.with_returns(service, now, tell)
+        let schedule = |scheduler: &mut ReturnTimes| scheduler.on_refused(now, refusal, flow);
+        self.demand.with_scheduler(service, now, schedule)
     }
 
-    /// What the fleet is asked for of a service.
+    /// Demand on the fleet for a service.
     pub fn fleet_demand(&self, service: &str, now: Instant) -> FleetDemand {
         let halls = self.hall.reports.demand(service, now);
         let own = || {
@@ -157,42 +161,42 @@
             (of_service.collect(), self.hall.max_hall_vms().max(1))
         };
         let fleet = FleetDemand::new(halls, &self.settings.borrow().hall, own);
-        self.note_told(&fleet);
+        self.log_source_change(&fleet);
         fleet
     }
 
-    /// What this VM tells the leader of its hall with an ask for news; nothing if it leads itself.
-    pub fn demand_report(&self, asks_news: bool) -> Option<DemandReport> {
-        let tells = asks_news && self.hall.acting_fence.get().is_none();
+    /// Demand report of this VM for the leader of its hall; `None` if it leads itself.
+    pub fn demand_report(&self, is_own_hall_request: bool) -> Option<DemandReport> {
+        let reports = is_own_hall_request && self.hall.acting_fence.get().is_none();
         let is_on = self.settings.borrow().mechanisms.fleet_demand;
-        (tells && is_on).then(|| self.demand.counter.borrow().report(Instant::now()))
+        (reports && is_on).then(|| self.demand.counter.borrow().report(Instant::now()))
     }
 
-    /// A VM asked for news and told what it is asked for; counts if this VM leads its hall.
-    pub fn on_reported_demand(&self, ask: &FeedRequest, now: Instant) {
-        let Some(report) = &ask.demand else {
+    /// Applies the demand report in a feed request, if this VM leads the hall of the sender.
+    pub fn on_reported_demand(&self, request: &FeedRequest, now: Instant) {
+        let Some(report) = &request.demand else {
             return;
         };
-        let is_of_hall = ask.hall == self.settings.borrow().hall;
+        let is_of_hall = request.hall == self.settings.borrow().hall;
         if is_of_hall && self.hall.acting_fence.get().is_some() {
-            self.demand.sum.borrow_mut().hear(now, &ask.vm, report);
+            self.demand.aggregator.borrow_mut().hear(now, &request.vm, report);
         }
     }
 
-    /// What this VM's hall is asked for, to be told with its board while this VM leads.
+    /// Demand on this VM's hall, for its hall report while this VM leads.
     pub fn hall_demand(&self, now: Instant) -> Option<HallRates> {
         let settings = self.settings.borrow();
         if !settings.mechanisms.fleet_demand {
             return None;
         }
         let own = self.demand.counter.borrow().report(now);
-        let mut sum = self.demand.sum.borrow_mut();
-        sum.hear(now, &settings.vm, &own);
-        Some(HallRates { age_ms: 0, rates: sum.rates(now)? })
+        let mut aggregator = self.demand.aggregator.borrow_mut();
+        aggregator.hear(now, &settings.vm, &own);
+        Some(HallRates { age_ms: 0, rates: aggregator.rates(now)? })
     }
 
-    /// Brings the gauges of what the fleet is asked for up to date.
-    pub fn show_demand(&self, now: Instant) {
+    /// Updates the gauges of the fleet's demand.
+    pub fn update_demand_metrics(&self, now: Instant) {
         let Some(catalog) = self.platform.catalog() else {
             return;
         };
@@ -200,14 +204,14 @@
         self.metrics.fleet_demand_age_s.clear();
         for service in catalog.services().take(MAX_SERVICES) {
             let fleet = self.fleet_demand(&service.name, now);
-            fleet.rates.iter().for_each(|rate| self.show_rate(rate));
+            fleet.rates.iter().for_each(|rate| self.update_rate_metrics(rate));
             let label =
                 RateLabel { service: service.name.clone(), is_told: u8::from(fleet.is_reported) };
             self.metrics.fleet_demand_age_s.get_or_create(&label).set(fleet.age.as_secs_f64());
         }
     }
 
-    fn show_rate(&self, rate: &DemandRate) {
+    fn update_rate_metrics(&self, rate: &DemandRate) {
         let set = |what: &'static str, per_s: f64| {
             let label = DemandLabel { service: rate.service.clone(), rank: rate.rank, what };
             self.metrics.fleet_demand_per_s.get_or_create(&label).set(per_s);
@@ -244,18 +248,18 @@
         }
     }
 
-    /// Logs when figures of the fleet begin or cease to be believed.
-    fn note_told(&self, fleet: &FleetDemand) {
+    /// Logs when reported figures become available or outdated.
+    fn log_source_change(&self, fleet: &FleetDemand) {
         if self.demand.is_reported.replace(fleet.is_reported) == fleet.is_reported {
             return;
         }
         let (age_ms, vms) = (fleet.age.as_millis() as u64, fleet.vms);
         match fleet.is_reported {
-            true => tracing::info!(age_ms, vms, "demand: The fleet's figures are believed."),
+            true => tracing::info!(age_ms, vms, "demand: Figures of the hall's leader are used."),
             false => tracing::info!(
                 vms,
-                reason = "the hall's leader has told none for 2 s",
-                "demand: This VM's own figures times its hall's VMs stand for the hall."
+                reason = "the hall's leader has reported none for 2 s",
+                "demand: The hall's demand is estimated from this VM's own figures."
             ),
         }
     }
--- a/crates/sillbank_gateway/src/endpoints.rs
+++ b/crates/sillbank_gateway/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! What this VM has seen of endpoints itself: work in flight and health.
+//! Endpoints as this VM observes them: work in flight and health.
 
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -8,74 +8,74 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// First ejection after a failure. Long enough for a crashed process to start again, short enough
-/// to lose little when only a connection failed.
-const EJECT: Duration = Duration::from_millis(1_000);
-/// Longest ejection; each failure in a row doubles it.
-const EJECT_MAX: Duration = Duration::from_millis(8_000);
-/// Time over which an endpoint that returned gets its full share again.
+/// First ejection after a failure. Long enough for a crashed process to restart, short enough to
+/// lose little when only a connection failed.
+const BASE_EJECTION: Duration = Duration::from_millis(1_000);
+/// Longest ejection; each consecutive failure doubles it.
+const MAX_EJECTION: Duration = Duration::from_millis(8_000);
+/// Time over which a recovered endpoint gets its full share of work again.
 const SLOW_START: Duration = Duration::from_millis(1_500);
-/// Weight of a new result in the failure share.
-const FAILURE_GAIN: f64 = 0.15;
-/// Share of failed answers above which an endpoint is left alone. Healthy ones fail up to 0.14 of
-/// their requests on the sites known.
-const FAILURE_LIMIT: f64 = 0.4;
+/// Weight of a new result in the moving average of failures.
+const FAILURE_WEIGHT: f64 = 0.15;
+/// Share of failed answers above which an endpoint is ejected. Healthy ones fail up to 0.14 of
+/// their requests on the known deployments.
+const EJECTION_FAILURE_SHARE: f64 = 0.4;
 
 const LIMITS: HealthLimits =
-    HealthLimits { eject: EJECT, eject_max: EJECT_MAX, slow_start: SLOW_START };
+    HealthLimits { eject: BASE_EJECTION, eject_max: MAX_EJECTION, slow_start: SLOW_START };
 
-/// How long an engine that refused its part of a path is avoided where there is another. About the
-/// time in which its entry tells what it holds now.
-const SHUN: Duration = Duration::from_millis(600);
+/// How long an engine that refused its part of a path is avoided where there is another. Its entry
+/// shows what it holds now after about this time.
+const REFUSAL_AVOIDANCE: Duration = Duration::from_millis(600);
 /// Cost of a path through an engine that refused its part, in milliseconds of predicted time: more
-/// than any healthy path, less than handing activations over to another hall.
-const SHUN_COST_MS: f64 = 500.0;
-/// Cost of an engine that fails all requests, in milliseconds of predicted time; in proportion for
-/// one that fails some.
+/// than any healthy path, less than passing activations to another hall.
+const REFUSAL_COST_MS: f64 = 500.0;
+/// Cost of an engine that fails all requests, in milliseconds of predicted time; proportionally
+/// less for fewer failures.
 const FAILURE_COST_MS: f64 = 300.0;
 
-/// How an exchange with an endpoint ended, as evidence of its health.
+/// Evidence of an endpoint's health: how an exchange with it ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// It answered as it should.
+    /// It answered correctly.
     Good,
-    /// It failed, or its answer was lost, but it can be reached.
+    /// It failed or its answer was lost, but it is reachable.
     Failed,
-    /// It refused a part of a path: it does not hold the layers or has no room for them.
-    LacksPart,
-    /// It cannot be reached, does not answer, or others wait for it in vain.
+    /// It refused a part of a path, as it does not hold the layers or has no room.
+    RefusedPart,
+    /// It is unreachable, does not answer, or stalls others that wait for it.
     Unreachable,
 }
 
-/// Number that this VM gives a life of an endpoint; no two lives have the same.
-type LifeNumber = u64;
+/// Number that this VM assigns to an incarnation of an endpoint. It is unique over all endpoints.
+type IncarnationNumber = u64;
 
 #[derive(Debug, Clone)]
-struct Seen {
-    life: LifeNumber,
-    /// When this VM heard that the endpoint had started again; `None` if it never did.
+struct EndpointState {
+    incarnation: IncarnationNumber,
+    /// When this VM learnt that the endpoint had restarted; `None` if it never did.
     restarted_at: Option<Instant>,
     in_flight: u32,
     health: Health,
     failure_share: f64,
-    on_trial: bool,
+    is_on_trial: bool,
     ejected_at: Option<Instant>,
-    shunned_until: Option<Instant>,
+    avoided_until: Option<Instant>,
     answered_at: Option<Instant>,
     sends: SendLog,
 }
 
-impl Seen {
-    fn new(life: LifeNumber, now: Instant) -> Self {
+impl EndpointState {
+    fn new(incarnation: IncarnationNumber, now: Instant) -> Self {
         Self {
-            life,
+            incarnation,
             restarted_at: None,
             in_flight: 0,
             health: Health::new(now),
             failure_share: 0.0,
-            on_trial: false,
+            is_on_trial: false,
             ejected_at: None,
-            shunned_until: None,
+            avoided_until: None,
             answered_at: None,
             sends: SendLog::default(),
         }
@@ -87,179 +87,190 @@
 pub struct RequestPart {
     /// Endpoint.
     pub endpoint: EndpointId,
-    /// KV cache that it will take there, in tokens times layers; 0 at an endpoint that is no engine.
+    /// KV cache that the part will take, in tokens times layers; 0 at an endpoint that is no
+    /// engine.
     pub kv: f64,
 }
 
-/// What this VM has seen of each endpoint.
+/// Health and work in flight of each endpoint.
 #[derive(Debug, Default)]
 pub struct EndpointTracker {
-    seen: RefCell<HashMap<EndpointId, Seen>>,
-    /// The number that was given last.
-    last_life: Cell<LifeNumber>,
+    states: RefCell<HashMap<EndpointId, EndpointState>>,
+    /// Number assigned last.
+    last_incarnation: Cell<IncarnationNumber>,
 }
 
 /// Work in flight at some endpoints; ends when dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     tracker: Rc<EndpointTracker>,
-    /// Shares, and the lives of their endpoints that they were sent to.
-    shares: Vec<(RequestPart, LifeNumber)>,
+    /// Parts of the request, with the incarnations that they were sent to.
+    parts: Vec<(RequestPart, IncarnationNumber)>,
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let now = Instant::now();
-        let mut seen = self.tracker.seen.borrow_mut();
-        for (share, life) in &self.shares {
-            if let Some(seen) = seen.get_mut(&share.endpoint).filter(|seen| seen.life == *life) {
-                seen.in_flight = seen.in_flight.saturating_sub(1);
-                seen.sends.on_end(now, share.kv);
+        let mut states = self.tracker.states.borrow_mut();
+        for (part, incarnation) in &self.parts {
+            if let Some(state) =
+                states.get_mut(&part.endpoint).filter(|state| state.incarnation == *incarnation)
+            {
+                state.in_flight = state.in_flight.saturating_sub(1);
+                state.sends.on_end(now, part.kv);
             }
         }
     }
 }
 
 impl EndpointTracker {
-    /// Notes work that is sent to endpoints, until the answer is dropped.
-    pub fn start(self: &Rc<Self>, shares: Vec<RequestPart>, now: Instant) -> InFlightGuard {
-        let start = |share: RequestPart| {
-            let life = self.with(&share.endpoint, now, |seen| {
-                seen.in_flight += 1;
-                seen.on_trial |= seen.health.state() == HealthState::Ejected;
-                seen.sends.on_send(now, share.kv);
-                seen.life
+    /// Records work that is sent to endpoints, until the guard is dropped.
+    pub fn start(self: &Rc<Self>, parts: Vec<RequestPart>, now: Instant) -> InFlightGuard {
+        let start = |part: RequestPart| {
+            let incarnation = self.with(&part.endpoint, now, |state| {
+                state.in_flight += 1;
+                state.is_on_trial |= state.health.state() == HealthState::Ejected;
+                state.sends.on_send(now, part.kv);
+                state.incarnation
             });
-            (share, life)
+            (part, incarnation)
         };
-        InFlightGuard { tracker: self.clone(), shares: shares.into_iter().map(start).collect() }
+        InFlightGuard { tracker: self.clone(), parts: parts.into_iter().map(start).collect() }
     }
 
-    /// An endpoint has started again: nothing that was seen of it says anything of its new life.
+    /// Resets an endpoint that has restarted, as nothing observed applies to its new incarnation.
     pub fn on_restart(&self, endpoint: &str, now: Instant) {
-        let renewed = Seen { restarted_at: Some(now), ..Seen::new(self.next_life(), now) };
-        self.seen.borrow_mut().insert(endpoint.to_owned(), renewed);
+        let renewed = EndpointState {
+            restarted_at: Some(now),
+            ..EndpointState::new(self.next_incarnation(), now)
+        };
+        self.states.borrow_mut().insert(endpoint.to_owned(), renewed);
     }
 
-    fn next_life(&self) -> LifeNumber {
-        self.last_life.set(self.last_life.get() + 1);
-        self.last_life.get()
+    fn next_incarnation(&self) -> IncarnationNumber {
+        self.last_incarnation.set(self.last_incarnation.get() + 1);
+        self.last_incarnation.get()
     }
 
-    /// Whether an endpoint was found to have started again at a moment or later. What was sent to it before
-    /// is lost there.
+    /// Whether an endpoint was found to have restarted at `since` or later. Work sent before is
+    /// lost there.
     pub fn restarted_since(&self, endpoint: &str, since: Instant) -> bool {
-        let seen = self.seen.borrow();
-        seen.get(endpoint).and_then(|seen| seen.restarted_at).is_some_and(|at| at >= since)
+        let states = self.states.borrow();
+        states.get(endpoint).and_then(|state| state.restarted_at).is_some_and(|at| at >= since)
     }
 
-    /// What this VM sent to an engine since a moment, less what was given back.
+    /// What this VM sent to an engine since `moment`, minus what has ended.
     pub fn sent_since(&self, endpoint: &str, moment: Instant) -> Unseen {
-        let seen = self.seen.borrow();
-        seen.get(endpoint).map_or_else(Unseen::default, |seen| seen.sends.since(moment))
+        let states = self.states.borrow();
+        states.get(endpoint).map_or_else(Unseen::default, |state| state.sends.since(moment))
     }
 
-    /// Requests of this VM that are in flight at an endpoint.
+    /// Requests of this VM in flight at an endpoint.
     pub fn in_flight(&self, endpoint: &str) -> u32 {
-        self.seen.borrow().get(endpoint).map_or(0, |seen| seen.in_flight)
+        self.states.borrow().get(endpoint).map_or(0, |state| state.in_flight)
     }
 
-    /// Whether an endpoint may be given work: it is healthy, or due for a trial.
+    /// Whether an endpoint may get work: it is healthy, or due for a trial request.
     pub fn accepts_work(&self, endpoint: &str, now: Instant) -> bool {
-        self.seen.borrow().get(endpoint).is_none_or(|seen| match seen.health.state() {
+        self.states.borrow().get(endpoint).is_none_or(|state| match state.health.state() {
             HealthState::Active | HealthState::Returning => true,
-            HealthState::Ejected => !seen.on_trial && seen.health.probe_due(now, &LIMITS),
+            HealthState::Ejected => !state.is_on_trial && state.health.probe_due(now, &LIMITS),
             HealthState::Leaving => false,
         })
     }
 
-    /// Whether an engine may be part of a path. Unlike plain endpoints, engines are not tried
-    /// with requests of callers: they are asked for a report first.
+    /// Whether an engine may be part of a path. An ejected engine gets no trial request of a
+    /// caller, unlike plain endpoints; it is polled for a report first.
     pub fn may_join_path(&self, endpoint: &str) -> bool {
         !self.is_ejected(endpoint)
     }
 
-    /// Cost of using an engine, in milliseconds of predicted time, by what was seen of it.
+    /// Cost of using an engine by its observed health, in milliseconds of predicted time.
     pub fn use_cost_ms(&self, endpoint: &str, now: Instant) -> f64 {
-        self.seen.borrow().get(endpoint).map_or(0.0, |seen| {
-            let is_shunned = seen.shunned_until.is_some_and(|until| now < until);
-            let shun = if is_shunned { SHUN_COST_MS } else { 0.0 };
-            seen.failure_share * FAILURE_COST_MS + shun
+        self.states.borrow().get(endpoint).map_or(0.0, |state| {
+            let is_avoided = state.avoided_until.is_some_and(|until| now < until);
+            let refusal_ms = if is_avoided { REFUSAL_COST_MS } else { 0.0 };
+            state.failure_share * FAILURE_COST_MS + refusal_ms
         })
     }
 
-    /// Whether an endpoint is left alone since a moment or later.
+    /// Whether an endpoint is ejected and was so at `since` or later.
     pub fn ejected_since(&self, endpoint: &str, since: Instant) -> bool {
-        let seen = self.seen.borrow();
-        seen.get(endpoint).is_some_and(|seen| {
-            seen.health.state() == HealthState::Ejected
-                && seen.ejected_at.is_some_and(|at| at >= since)
+        let states = self.states.borrow();
+        states.get(endpoint).is_some_and(|state| {
+            state.health.state() == HealthState::Ejected
+                && state.ejected_at.is_some_and(|at| at >= since)
         })
     }
 
-    /// Notes that an endpoint answered a call beside requests.
+    /// Records that an endpoint answered a call other than a request.
     pub fn on_answer(&self, endpoint: &str, now: Instant) {
-        self.with(endpoint, now, |seen| seen.answered_at = Some(now));
+        self.with(endpoint, now, |state| state.answered_at = Some(now));
     }
 
-    /// Whether an endpoint answered such a call at a moment or later.
+    /// Whether an endpoint answered such a call at `since` or later.
     pub fn answered_since(&self, endpoint: &str, since: Instant) -> bool {
-        let seen = self.seen.borrow();
-        seen.get(endpoint).and_then(|seen| seen.answered_at).is_some_and(|at| at >= since)
+        let states = self.states.borrow();
+        states.get(endpoint).and_then(|state| state.answered_at).is_some_and(|at| at >= since)
     }
 
-    /// Endpoints that have been left alone for long enough to be asked again.
+    /// Ejected endpoints that are due for a probe.
     pub fn due_for_probe(&self, now: Instant) -> Vec<EndpointId> {
-        let seen = self.seen.borrow();
-        let due = seen.iter().filter(|(_, seen)| seen.health.probe_due(now, &LIMITS));
+        let states = self.states.borrow();
+        let due = states.iter().filter(|(_, state)| state.health.probe_due(now, &LIMITS));
         due.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether an endpoint is left alone at the moment.
+    /// Whether an endpoint is ejected.
     pub fn is_ejected(&self, endpoint: &str) -> bool {
-        let seen = self.seen.borrow();
-        seen.get(endpoint).is_some_and(|seen| seen.health.state() == HealthState::Ejected)
+        let states = self.states.borrow();
+        states.get(endpoint).is_some_and(|state| state.health.state() == HealthState::Ejected)
     }
 
-    /// Takes evidence; answers whether the endpoint's standing changed.
+    /// Applies evidence. Returns whether the endpoint's health state changed.
     pub fn on_evidence(&self, endpoint: &str, evidence: Evidence, now: Instant) -> bool {
-        self.with(endpoint, now, |seen| {
-            let before = seen.health.state();
-            seen.on_trial = false;
+        self.with(endpoint, now, |state| {
+            let before = state.health.state();
+            state.is_on_trial = false;
             match evidence {
                 Evidence::Good => {
-                    seen.failure_share -= FAILURE_GAIN * seen.failure_share;
-                    seen.health.on_event(now, HealthEvent::ProbeOk);
+                    state.failure_share -= FAILURE_WEIGHT * state.failure_share;
+                    state.health.on_event(now, HealthEvent::ProbeOk);
                 }
                 Evidence::Failed => {
-                    seen.failure_share += FAILURE_GAIN * (1.0 - seen.failure_share);
-                    if seen.failure_share > FAILURE_LIMIT {
-                        seen.failure_share = FAILURE_LIMIT / 2.0;
-                        seen.health.on_event(now, HealthEvent::Failure);
+                    state.failure_share += FAILURE_WEIGHT * (1.0 - state.failure_share);
+                    if state.failure_share > EJECTION_FAILURE_SHARE {
+                        state.failure_share = EJECTION_FAILURE_SHARE / 2.0;
+                        state.health.on_event(now, HealthEvent::Failure);
                     }
                 }
-                Evidence::LacksPart => seen.shunned_until = Some(now + SHUN),
-                Evidence::Unreachable => seen.health.on_event(now, HealthEvent::Failure),
+                Evidence::RefusedPart => state.avoided_until = Some(now + REFUSAL_AVOIDANCE),
+                Evidence::Unreachable => state.health.on_event(now, HealthEvent::Failure),
             }
-            seen.health.on_time(now, &LIMITS);
-            let is_ejected = seen.health.state() == HealthState::Ejected;
-            seen.ejected_at = is_ejected.then(|| seen.ejected_at.unwrap_or(now));
-            before != seen.health.state()
+            state.health.on_time(now, &LIMITS);
+            let is_ejected = state.health.state() == HealthState::Ejected;
+            state.ejected_at = is_ejected.then(|| state.ejected_at.unwrap_or(now));
+            before != state.health.state()
         })
     }
 
-    /// Forgets endpoints that are not listed any more and have no work in flight.
+    /// Drops endpoints that are no longer listed and have no work in flight.
     pub fn retain(&self, is_known: impl Fn(&str) -> bool) {
-        self.seen.borrow_mut().retain(|id, seen| seen.in_flight > 0 || is_known(id));
+        self.states.borrow_mut().retain(|id, state| state.in_flight > 0 || is_known(id));
     }
 
-    fn with<T>(&self, endpoint: &str, now: Instant, change: impl FnOnce(&mut Seen) -> T) -> T {
-        let mut all = self.seen.borrow_mut();
-        if !all.contains_key(endpoint) {
-            all.insert(endpoint.to_owned(), Seen::new(self.next_life(), now));
+    fn with<T>(
+        &self,
+        endpoint: &str,
+        now: Instant,
+        change: impl FnOnce(&mut EndpointState) -> T,
+    ) -> T {
+        let mut states = self.states.borrow_mut();
+        if !states.contains_key(endpoint) {
+            states.insert(endpoint.to_owned(), EndpointState::new(self.next_incarnation(), now));
         }
-        match all.get_mut(endpoint) {
-            Some(seen) => change(seen),
+        match states.get_mut(endpoint) {
+            Some(state) => change(state),
             None => unreachable!("it was just inserted"),
         }
     }
--- a/crates/sillbank_gateway/src/feed/client.rs
+++ b/crates/sillbank_gateway/src/feed/client.rs
@@ -1,4 +1,4 @@
-//! The asking side of the feed: VMs ask their leader, leaders ask those of other halls.
+//! The follower's side of the feed: VMs follow their leader, leaders follow those of other halls.
 
 use super::messages::{
     EndpointUpdate, FeedCursor, FeedReply, FeedRequest, FeedUpdate, Incarnation,
@@ -19,67 +19,68 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a leader may take for an answer: the wait for news, and the way.
-const REPLY_LIMIT: Duration = Duration::from_millis(1_000);
-/// Pause before a leader is looked for or asked again.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Pause before the VM is asked that another named as leader. Two that name each other, until one of them
-/// has read the lease, are asked 20 times a second at most.
+/// Timeout for a reply of a leader, which includes the wait for an update.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Pause before a leader is looked up or asked again.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Pause before following a redirect. Two VMs that redirect to each other, until one has read the
+/// lease, get at most 20 requests a second.
 const REDIRECT_PAUSE: Duration = Duration::from_millis(50);
-/// Pause of a leader before it asks another hall's leader again, which answers when it has news.
+/// Pause of a leader between requests to the leader of another hall, which replies when it has an
+/// update.
 const OTHER_HALL_PAUSE: Duration = Duration::from_millis(100);
-/// How often a leader looks for halls that it does not follow yet.
+/// Interval at which a leader checks for halls that it does not follow yet.
 const NEW_HALLS_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the lease of another hall is read while its leader is not heard of.
+/// Interval at which the lease of another hall is read while its leader is unknown.
 const OTHER_LEASE_INTERVAL: Duration = Duration::from_millis(4_000);
-/// Most requests under which endpoints ended that one ask tells of, some 80 bytes each; the rest follows.
-const MOST_SUSPECTS_TOLD: usize = 32;
+/// Largest number of quarantine entries in one request, about 80 bytes each; the rest follows.
+const MAX_SENT_SUSPECTS: usize = 32;
 
-/// Most limits of endpoints that one ask tells of, some 40 bytes each; the rest follows.
-const MOST_LIMITS_TOLD: usize = 32;
+/// Largest number of endpoint limits in one request, about 40 bytes each; the rest follows.
+const MAX_SENT_LIMITS: usize = 32;
 
-/// What a VM asks another for.
+/// Kind of a request to another VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum AskFor {
-    /// What the leader of its hall tells.
-    News,
-    /// What the leader of another hall tells.
-    NewsOfHall(HallId),
-    /// What a VM of the asking leader's hall knows by itself.
-    SourceNews,
+pub(super) enum RequestKind {
+    /// Updates of the own hall's leader.
+    OwnHall,
+    /// Updates of another hall's leader.
+    OtherHall(HallId),
+    /// Updates of the leader's source.
+    Source,
 }
 
-impl AskFor {
-    /// Whom parts of limits come from.
+impl RequestKind {
+    /// Who hands out parts of rate limits in reply to this request.
     fn parts_from(&self) -> Option<PartsFrom> {
         match self {
-            Self::News => Some(PartsFrom::OwnLeader),
-            Self::NewsOfHall(hall) => Some(PartsFrom::Hall(hall.clone())),
-            Self::SourceNews => None,
+            Self::OwnHall => Some(PartsFrom::OwnLeader),
+            Self::OtherHall(hall) => Some(PartsFrom::Hall(hall.clone())),
+            Self::Source => None,
         }
     }
 }
 
-/// A connection to one leader, or of a leader to its source.
-pub(super) struct Link {
+/// A connection to a leader, or of a leader to its source.
+pub(super) struct Connection {
     stream: TcpStream,
     address: SocketAddr,
-    /// Incarnation of the leader and the newest of its boards that was seen.
+    /// Incarnation of the leader, and the number of its newest hall report received.
     hall_reports_seen: Option<(Incarnation, u64)>,
     endpoints: Replication,
-    /// How often all endpoints were to be read again when this was last asked.
+    /// Number of requested full reads of the endpoints at the last request.
     rereads: u64,
-    /// Newest change of the leader's requests that end their endpoints that was seen.
+    /// Newest change of the leader's quarantine list received.
     quarantine_seen: u64,
-    /// Newest change of this VM's own that was told.
-    suspects_told: u64,
-    /// Newest change of what endpoints told the leader of their limits that was seen.
+    /// Newest change of this VM's quarantine list sent.
+    suspects_sent: u64,
+    /// Newest change of the leader's rate limits received.
     limits_seen: u64,
-    /// Newest change of what they told this VM that was told.
-    limits_told: u64,
+    /// Newest change of this VM's rate limits sent.
+    limits_sent: u64,
 }
 
-impl Link {
+impl Connection {
     async fn open(address: SocketAddr) -> Result<Self, FrameError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -91,20 +92,20 @@
             endpoints: Replication::default(),
             rereads: 0,
             quarantine_seen: 0,
-            suspects_told: 0,
+            suspects_sent: 0,
             limits_seen: 0,
-            limits_told: 0,
+            limits_sent: 0,
         })
     }
 
-    /// Lets all endpoints be told anew, if they are to be read again since the last ask.
-    fn note_rereads(&mut self, rereads: u64) {
+    /// Requests all endpoints anew if a full read was requested since the last call.
+    fn reset_if_reread(&mut self, rereads: u64) {
         if std::mem::replace(&mut self.rereads, rereads) != rereads {
             self.endpoints = Replication::default();
         }
     }
 
-    fn seen(&self) -> Option<FeedCursor> {
+    fn cursor(&self) -> Option<FeedCursor> {
         let (incarnation, hall_reports) = self.hall_reports_seen?;
         Some(FeedCursor {
             incarnation,
@@ -115,47 +116,46 @@
         })
     }
 
-    /// Notes what a leader's news bring; what was seen of another process counts no more.
-    fn on_news(&mut self, news: &FeedUpdate) {
-        if self.hall_reports_seen.is_some_and(|(known, _)| known != news.incarnation) {
+    /// Advances the cursor. If the leader's process has restarted, everything is sent to it again.
+    fn on_update(&mut self, update: &FeedUpdate) {
+        if self.hall_reports_seen.is_some_and(|(known, _)| known != update.incarnation) {
             self.endpoints = Replication::default();
-            self.suspects_told = 0;
-            self.limits_told = 0;
+            self.suspects_sent = 0;
+            self.limits_sent = 0;
         }
-        self.limits_seen = news.limits.up_to;
-        self.quarantine_seen = news.quarantine.up_to;
-        self.hall_reports_seen = Some((news.incarnation, news.hall_reports_seen));
+        self.limits_seen = update.limits.up_to;
+        self.quarantine_seen = update.quarantine.up_to;
+        self.hall_reports_seen = Some((update.incarnation, update.hall_reports_seen));
     }
 
-    async fn ask(&mut self, ask: &FeedRequest) -> Result<FeedReply, FrameError> {
-        write_message(&mut self.stream, ask).await?;
+    async fn request(&mut self, request: &FeedRequest) -> Result<FeedReply, FrameError> {
+        write_message(&mut self.stream, request).await?;
         read_message(&mut self.stream).await
     }
 }
 
-/// Asks the hall's leader, or as the leader the leaders of other halls, for as long as the program
-/// runs.
+/// Follows the hall's leader, or as the leader those of other halls, while the program runs.
 pub async fn follow_leader<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
-    let mut link: Option<Link> = None;
+    let mut connection: Option<Connection> = None;
     let mut followed = BTreeSet::new();
     loop {
         if gateway.hall.acting_fence.get().is_some() {
-            link = None;
+            connection = None;
             follow_new_halls(&gateway, &mut followed);
             smol::Timer::after(NEW_HALLS_INTERVAL).await;
             continue;
         }
         let Some(leader) = gateway.hall.leader.get() else {
-            smol::Timer::after(PAUSE).await;
+            smol::Timer::after(RETRY_PAUSE).await;
             continue;
         };
         let sent = Instant::now();
-        match ask_once(&gateway, &mut link, leader, &AskFor::News).await {
-            Ok(FeedReply::Update(news)) => {
-                take_parts(&gateway, &news, &PartsFrom::OwnLeader, sent);
-                let holds_lease = news.holds_lease;
-                gateway.hall.on_hall_vms(news.hall_vms);
-                let confirmed = take_news(&gateway, &mut link, *news, sent, true);
+        match request_once(&gateway, &mut connection, leader, &RequestKind::OwnHall).await {
+            Ok(FeedReply::Update(update)) => {
+                apply_parts(&gateway, &update, &PartsFrom::OwnLeader, sent);
+                let holds_lease = update.holds_lease;
+                gateway.hall.on_hall_vms(update.hall_vms);
+                let confirmed = apply_update(&gateway, &mut connection, *update, sent, true);
                 gateway.hall.on_leader_update(Instant::now(), confirmed, holds_lease);
             }
             Ok(FeedReply::NotLeader { leader: Some(other) }) if other != leader => {
@@ -164,131 +164,132 @@
             }
             Ok(FeedReply::NotLeader { .. }) => {
                 gateway.hall.on_redirect_failed();
-                smol::Timer::after(PAUSE).await;
+                smol::Timer::after(RETRY_PAUSE).await;
             }
             Err(error) => {
-                link = None;
+                connection = None;
                 if gateway.hall.leader_is_live(Instant::now()) {
-                    tracing::info!(%leader, %error, "feed: The leader is lost.");
+                    tracing::info!(%leader, %error, "feed: The leader does not answer.");
                 }
                 gateway.hall.on_leader_lost();
                 gateway.hall.on_redirect_failed();
-                smol::Timer::after(PAUSE).await;
+                smol::Timer::after(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-pub(super) async fn ask_once<W: Wire, S: MetadataStore>(
+pub(super) async fn request_once<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    link: &mut Option<Link>,
+    connection: &mut Option<Connection>,
     address: SocketAddr,
-    ask_for: &AskFor,
+    kind: &RequestKind,
 ) -> Result<FeedReply, FrameError> {
-    let late = async {
-        smol::Timer::after(REPLY_LIMIT).await;
+    let timeout = async {
+        smol::Timer::after(REPLY_TIMEOUT).await;
         Err(FrameError::Io(std::io::ErrorKind::TimedOut.into()))
     };
     let exchange = async {
-        if link.as_ref().is_none_or(|link| link.address != address) {
-            *link = Some(Link::open(address).await?);
+        if connection.as_ref().is_none_or(|connection| connection.address != address) {
+            *connection = Some(Connection::open(address).await?);
         }
-        let Some(link) = link else {
+        let Some(connection) = connection else {
             return Err(FrameError::Io(std::io::ErrorKind::NotConnected.into()));
         };
-        link.note_rereads(gateway.platform.rereads());
+        connection.reset_if_reread(gateway.platform.rereads());
         let settings = gateway.settings();
-        let told = gateway.quarantine.borrow().witnessed_since(
-            link.suspects_told,
-            MOST_SUSPECTS_TOLD,
+        let new_suspects = gateway.quarantine.borrow().witnessed_since(
+            connection.suspects_sent,
+            MAX_SENT_SUSPECTS,
             Instant::now(),
         );
-        let (now, parts_from) = (Instant::now(), ask_for.parts_from());
-        let told_limits =
-            gateway.pushback.borrow().witnessed_since(link.limits_told, MOST_LIMITS_TOLD, now);
-        let ask = FeedRequest {
+        let (now, parts_from) = (Instant::now(), kind.parts_from());
+        let new_limits =
+            gateway.pushback.borrow().witnessed_since(connection.limits_sent, MAX_SENT_LIMITS, now);
+        let request = FeedRequest {
             vm: settings.vm.clone(),
             hall: settings.hall.clone(),
             peer: settings.peer_listen,
             leader_score: gateway.leader_score(),
             confirmed_age_ms: gateway.platform.stamp(Instant::now()).catalog_age_ms,
-            is_source_request: *ask_for == AskFor::SourceNews,
+            is_source_request: *kind == RequestKind::Source,
             catalog: gateway.platform.catalog().map(|catalog| catalog.version()),
-            seen: link.seen(),
-            demand: gateway.demand_report(*ask_for == AskFor::News),
-            suspects: told.suspects,
-            limits: told_limits.limits,
+            cursor: connection.cursor(),
+            demand: gateway.demand_report(*kind == RequestKind::OwnHall),
+            suspects: new_suspects.suspects,
+            limits: new_limits.limits,
             wants: parts_from.map(|from| gateway.wants_of(&from, now)).unwrap_or_default(),
         };
-        let reply = link.ask(&ask).await?;
-        if let FeedReply::Update(news) = &reply {
-            link.on_news(news);
-            link.suspects_told = told.up_to;
-            link.limits_told = told_limits.up_to;
+        let reply = connection.request(&request).await?;
+        if let FeedReply::Update(update) = &reply {
+            connection.on_update(update);
+            connection.suspects_sent = new_suspects.up_to;
+            connection.limits_sent = new_limits.up_to;
         }
         Ok(reply)
     };
-    futures_lite::future::or(exchange, late).await
+    futures_lite::future::or(exchange, timeout).await
 }
 
-/// Takes what a leader or a source tells; answers when the configuration that is in force now was confirmed.
-pub(super) fn take_news<W: Wire, S: MetadataStore>(
+/// Applies an update of a leader or source. Returns when the configuration now in force was
+/// confirmed.
+pub(super) fn apply_update<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    link: &mut Option<Link>,
-    news: FeedUpdate,
+    connection: &mut Option<Connection>,
+    update: FeedUpdate,
     sent: Instant,
     takes_endpoints: bool,
 ) -> Option<Instant> {
     let now = Instant::now();
-    let confirmed = news.confirmed_since(sent, now);
+    let confirmed = update.local_confirmation_time(sent, now);
     let confirmed = confirmed.filter(|_| !gateway.platform.was_suspended_since(sent));
-    if let Some(parts) = news.catalog {
+    if let Some(parts) = update.catalog {
         let version = parts.version;
         match Catalog::new(parts.clone()) {
             Ok(catalog) => {
-                gateway.offer_catalog(catalog, parts, news.confirmed_at);
+                gateway.offer_catalog(catalog, parts, update.confirmed_at);
             }
             Err(error) => {
-                tracing::error!(version, %error, "feed: A configuration cannot be used.");
+                tracing::error!(version, %error, "feed: The received configuration is invalid.");
                 return None;
             }
         }
     }
-    if let (Some(link), Some(endpoints)) = (link, news.endpoints) {
+    if let (Some(connection), Some(endpoints)) = (connection, update.endpoints) {
         let EndpointUpdate { at, difference } = endpoints;
-        gateway.on_reported_endpoints(&mut link.endpoints, at, difference, takes_endpoints);
+        gateway.on_reported_endpoints(&mut connection.endpoints, at, difference, takes_endpoints);
     }
-    gateway.on_reported_suspects(&news.quarantine.suspects, Teller::Leader);
+    gateway.on_reported_suspects(&update.quarantine.suspects, Teller::Leader);
     if gateway.hall.acting_fence.get().is_none() {
         gateway.on_quarantine_loaded();
     }
     let own = gateway.settings().hall.clone();
-    for board in news.hall_reports {
-        if board.hall == own {
-            gateway.hall.record_hall_vms(board.vms);
+    for report in update.hall_reports {
+        if report.hall == own {
+            gateway.hall.record_hall_vms(report.vms);
         }
-        gateway.on_reported_incarnations(&board);
-        gateway.hall.reports.insert(now, board);
+        gateway.on_reported_incarnations(&report);
+        gateway.hall.reports.insert(now, report);
     }
-    gateway.platform.confirm_catalog(confirmed?, news.confirmed_at);
+    gateway.platform.confirm_catalog(confirmed?, update.confirmed_at);
     confirmed
 }
 
-/// Takes the parts of limits that a leader's answer gives. What endpoints said comes first: a part of a limit that is
-/// not known would be left.
-fn take_parts<W: Wire, S: MetadataStore>(
+/// Applies the parts of rate limits in a leader's update. The limits come first, as a part of an
+/// unknown limit would be ignored.
+fn apply_parts<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    news: &FeedUpdate,
+    update: &FeedUpdate,
     from: &PartsFrom,
     sent: Instant,
 ) {
-    gateway.on_reported_limits(&news.limits.limits, "a leader");
-    if let Some(given_at) = news.made_at(sent, Instant::now()) {
-        gateway.take_parts(&news.parts, from, given_at);
+    gateway.on_reported_limits(&update.limits.limits, "a leader");
+    if let Some(given_at) = update.local_creation_time(sent, Instant::now()) {
+        gateway.apply_parts(&update.parts, from, given_at);
     }
 }
 
-/// Begins to follow the leaders of halls that endpoints are listed in.
+/// Starts to follow the leaders of all halls in which endpoints are listed.
 fn follow_new_halls<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     followed: &mut BTreeSet<HallId>,
@@ -302,25 +303,26 @@
     }
 }
 
-/// Asks the leader of another hall whenever this VM leads its own, for as long as the program runs.
-/// Each hall is asked apart: one that does not answer keeps no news of the others back.
+/// Follows the leader of another hall whenever this VM leads its own, while the program runs. Each
+/// hall has its own task, so that one that does not answer does not delay the updates of others.
 async fn follow_other_hall<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>, hall: HallId) {
-    let mut other = OtherHall { hall, link: None, leader: None, lost: None, lease_read_at: None };
+    let mut other =
+        OtherHall { hall, connection: None, leader: None, lost: None, lease_read_at: None };
     loop {
         if gateway.hall.acting_fence.get().is_some() {
-            other.ask(&gateway).await;
+            other.request(&gateway).await;
             smol::Timer::after(OTHER_HALL_PAUSE).await;
         } else {
-            other.link = None;
-            smol::Timer::after(PAUSE).await;
+            other.connection = None;
+            smol::Timer::after(RETRY_PAUSE).await;
         }
     }
 }
 
-/// A leader's link to the leader of another hall.
+/// A leader's connection to the leader of another hall.
 struct OtherHall {
     hall: HallId,
-    link: Option<Link>,
+    connection: Option<Connection>,
     leader: Option<SocketAddr>,
     /// The leader that was lost last.
     lost: Option<SocketAddr>,
@@ -328,20 +330,21 @@
 }
 
 impl OtherHall {
-    async fn ask<W: Wire, S: MetadataStore>(&mut self, gateway: &Rc<Gateway<W, S>>) {
+    async fn request<W: Wire, S: MetadataStore>(&mut self, gateway: &Rc<Gateway<W, S>>) {
         let Some(leader) = self.leader else {
-            self.look_up(gateway).await;
+            self.find_leader(gateway).await;
             return;
         };
         let sent = Instant::now();
-        let ask_for = AskFor::NewsOfHall(self.hall.clone());
-        match ask_once(gateway, &mut self.link, leader, &ask_for).await {
-            Ok(FeedReply::Update(news)) => {
-                take_parts(gateway, &news, &PartsFrom::Hall(self.hall.clone()), sent);
+        let kind = RequestKind::OtherHall(self.hall.clone());
+        match request_once(gateway, &mut self.connection, leader, &kind).await {
+            Ok(FeedReply::Update(update)) => {
+                apply_parts(gateway, &update, &PartsFrom::Hall(self.hall.clone()), sent);
                 let takes_endpoints =
                     !gateway.store_is_reached() || gateway.upstream_is_fresh(sent);
-                let follows_store = news.follows_store;
-                let confirmed = take_news(gateway, &mut self.link, *news, sent, takes_endpoints);
+                let follows_store = update.follows_store;
+                let confirmed =
+                    apply_update(gateway, &mut self.connection, *update, sent, takes_endpoints);
                 let now = Instant::now();
                 gateway.hall.on_other_leader_update(&self.hall, now, confirmed, follows_store);
             }
@@ -350,23 +353,23 @@
                 gateway.hall.on_other_leader_lost(&self.hall);
             }
             Err(error) => {
-                self.link = None;
+                self.connection = None;
                 self.leader = None;
                 self.lost = Some(leader);
                 let hall = &self.hall;
                 gateway.hall.on_other_leader_lost(hall);
-                tracing::debug!(hall, %leader, %error, "feed: Another hall's leader is lost.");
+                tracing::debug!(hall, %leader, %error, "feed: The leader of another hall does not answer.");
             }
         }
     }
 
-    /// Finds out who leads the hall, by what the leaders of further halls tell, which works also while the
-    /// store is away, or by its lease, if that was not read lately.
-    async fn look_up<W: Wire, S: MetadataStore>(&mut self, gateway: &Rc<Gateway<W, S>>) {
+    /// Finds the leader of the hall by the reports of other halls' leaders, which works also while
+    /// the store is unreachable, or by the hall's lease unless that was read recently.
+    async fn find_leader<W: Wire, S: MetadataStore>(&mut self, gateway: &Rc<Gateway<W, S>>) {
         let now = Instant::now();
-        let told = gateway.hall.reports.leader(&self.hall, now);
-        if told.is_some() && told != self.lost {
-            self.leader = told;
+        let reported = gateway.hall.reports.leader(&self.hall, now);
+        if reported.is_some() && reported != self.lost {
+            self.leader = reported;
             return;
         }
         let is_due = |at: Instant| now.saturating_duration_since(at) >= OTHER_LEASE_INTERVAL;
@@ -378,7 +381,9 @@
         match gateway.store.read_lease(&crate::placement::lease_name(hall)).await {
             Ok(Some((_, record))) if !record.owner.is_empty() => self.leader = Some(record.peer),
             Ok(_) => {}
-            Err(error) => tracing::debug!(hall, %error, "lease: It could not be read."),
+            Err(error) => {
+                tracing::debug!(hall, %error, "lease: The lease of another hall could not be read.")
+            }
         }
     }
 }
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the feed, as postcard frames over TCP.
+//! Messages of the feed, sent as postcard frames over TCP.
 
 use crate::hall::{HallVms, LeaderScore};
 use crate::revision::Revision;
@@ -13,105 +13,105 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Number that a process draws at its start: the numbers it gives changes and boards count within it only.
-/// The fence of its lease would not do, as that changes with each renewal.
+/// Random number that a process draws at its start. Its change numbers and report numbers are only
+/// valid within it. The fence of its lease would not do, as that changes with each renewal.
 pub type Incarnation = u64;
 
-/// What a VM has seen of a leader's knowledge.
+/// Position of a follower in a leader's changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedCursor {
     /// Incarnation of the leader's process.
     pub incarnation: Incarnation,
     /// Newest change of the leader's directory.
     pub endpoints: ChangeNumber,
-    /// Number of the newest board that was passed on.
+    /// Newest number of a hall report.
     pub hall_reports: u64,
-    /// Newest change of requests that end their endpoints.
+    /// Newest change of the quarantine list.
     pub quarantine: u64,
-    /// Newest change of what endpoints said of their limits.
+    /// Newest change of the endpoints' rate limits.
     pub limits: u64,
 }
 
-/// A VM asks a leader for what is new.
+/// A VM requests updates from a leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FeedRequest {
-    /// Who asks.
+    /// Requesting VM.
     pub vm: VmId,
     /// Its hall.
     pub hall: HallId,
-    /// Where it is asked if it leads.
+    /// Its address for followers if it leads.
     pub peer: SocketAddr,
-    /// How fit it is to lead; 0 if it does not want to.
+    /// How fit it is to lead; 0 if it should not.
     pub leader_score: LeaderScore,
     /// Time since its configuration was last confirmed, in milliseconds.
     pub confirmed_age_ms: Option<u64>,
-    /// Whether it leads and asks a VM of its hall, as it has lost the store.
+    /// Whether it leads, has lost the store, and uses the receiver as its source.
     pub is_source_request: bool,
-    /// Version of the configuration it has.
+    /// Version of its configuration.
     pub catalog: Option<CatalogVersion>,
-    /// What it has seen of this leader.
-    pub seen: Option<FeedCursor>,
-    /// What it was asked for in the last second, told to the leader of its own hall.
+    /// Its position in the changes of this leader.
+    pub cursor: Option<FeedCursor>,
+    /// Demand on it in the last second, for the leader of its own hall.
     pub demand: Option<DemandReport>,
-    /// Requests under which it saw endpoints end, as far as it has not told them yet.
+    /// Crashes under requests that it witnessed and has not reported yet.
     pub suspects: Vec<SuspectNews>,
-    /// What endpoints told it of their limits, as far as it has not told that yet.
+    /// Rate limits that endpoints sent it and that it has not reported yet.
     pub limits: Vec<LimitNews>,
-    /// What it, or as a leader its hall, would send to endpoints that name limits.
+    /// Rates that it, or as a leader its hall, would send to endpoints with a limit.
     pub wants: Vec<Want>,
 }
 
-/// What a leader's directory has that the asking VM lacks.
+/// Changes of the leader's directory that the follower lacks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointUpdate {
-    /// Revision of the store as of which it holds.
+    /// Revision of the store as of which they are valid.
     pub at: Revision,
     /// The difference, or a piece of it.
     pub difference: Difference,
 }
 
-/// What an engine reported, or that it is lost.
+/// State of an engine as reported, or that it is lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Engine.
+    /// Engine id.
     pub id: EndpointId,
-    /// Start of the life that is told of; `None` if it is not known.
+    /// Incarnation that the state belongs to; `None` if unknown.
     pub born_ms: Option<BornMs>,
-    /// Whether it did not answer several times.
+    /// Whether it failed to report several times.
     pub is_lost: bool,
-    /// Layers it serves.
+    /// Layers that it serves.
     pub layers: Option<LayerRange>,
-    /// Requests that wait there.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that run there.
+    /// Running requests.
     pub running: u32,
-    /// Used part of its KV cache, in thousandths.
+    /// Used share of its KV cache, in thousandths.
     pub kv_permille: u16,
-    /// How many times slower than usual it is, in thousandths.
+    /// Slowdown against its usual speed, in thousandths.
     pub pace_permille: u32,
 }
 
-/// What is known of a hall's engines, and what the hall is asked for.
+/// State of a hall's engines, and the demand on the hall.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HallReport {
     /// Hall.
     pub hall: HallId,
-    /// Time since the engines were asked, in milliseconds.
+    /// Time since the engines were polled, in milliseconds.
     pub age_ms: u64,
-    /// VMs of the hall that ask its leader, and the leader.
+    /// Followers of the hall's leader, and the leader.
     pub vms: u32,
-    /// Where the hall's leader is asked.
+    /// Address of the hall's leader.
     pub leader: SocketAddr,
-    /// Whether all engines are told of, and those that are missing are gone. If not, those that are
-    /// missing are as told before.
+    /// Whether all engines are listed. If so, missing ones are gone; if not, they are unchanged.
     pub is_complete: bool,
     /// Engines.
     pub engines: Vec<EngineState>,
-    /// What the hall is asked for; `None` if its leader has not heard all VMs yet, or if the asking VM knows it.
+    /// Demand on the hall; `None` if its leader has not heard from all VMs yet, or if the follower
+    /// knows it.
     pub demand: Option<HallRates>,
 }
 
-/// Requests a second at all VMs of a hall.
+/// Request rates of all VMs of a hall.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HallRates {
     /// Time since they were added up, in milliseconds.
@@ -120,47 +120,49 @@
     pub rates: Vec<DemandRate>,
 }
 
-/// Changes of an engine's state from which it is told again.
-struct TellFrom {
-    /// Of its KV cache, in thousandths.
+/// Changes of an engine's state from which it is reported again.
+struct ChangeThresholds {
+    /// Change of the used KV cache, in thousandths.
     kv_permille: u16,
-    /// Of its requests.
+    /// Change of the number of requests.
     requests: u32,
 }
 
-/// While an engine has room to spare: the choice of paths is about the same.
-const TELL_FROM: TellFrom = TellFrom { kv_permille: 40, requests: 8 };
-/// While its KV cache is nearly full: what is told decides who is refused.
-const TELL_FROM_NEARLY_FULL: TellFrom = TellFrom { kv_permille: 10, requests: 2 };
-/// Used part of the KV cache from which an engine is nearly full, in thousandths. Costs of paths rise
+/// Thresholds while an engine has free KV cache: smaller changes hardly affect the choice of paths.
+const THRESHOLDS: ChangeThresholds = ChangeThresholds { kv_permille: 40, requests: 8 };
+/// Thresholds while its KV cache is nearly full: requests are refused by what is reported.
+const NEARLY_FULL_THRESHOLDS: ChangeThresholds = ChangeThresholds { kv_permille: 10, requests: 2 };
+/// Used share of the KV cache from which an engine is nearly full, in thousandths. Path costs rise
 /// from about there.
 pub const NEARLY_FULL_PERMILLE: u16 = 600;
-/// Change of an engine's pace from which it is told again, in thousandths.
+/// Change of an engine's slowdown from which it is reported again, in thousandths.
 const PACE_CHANGE_PERMILLE: u32 = 200;
 
-/// Largest share and slowest pace that are told, in thousandths.
-const MOST_PERMILLE: f64 = 1_000.0;
-const SLOWEST_PERMILLE: f64 = 1_000_000.0;
+/// Largest share that is reported, in thousandths.
+const MAX_PERMILLE: f64 = 1_000.0;
+/// Largest slowdown that is reported, in thousandths.
+const MAX_PACE_PERMILLE: f64 = 1_000_000.0;
 
-/// A share in thousandths. One that is no share is told as full: nobody is sent where it is not known
-/// whether there is room.
+/// Converts a share to thousandths. An invalid share is reported as full, so that nothing is sent
+/// where free space is unknown.
 fn kv_permille(share: f64) -> u16 {
     match share >= 0.0 {
-        true => (share * MOST_PERMILLE).min(MOST_PERMILLE) as u16,
-        false => MOST_PERMILLE as u16,
+        true => (share * MAX_PERMILLE).min(MAX_PERMILLE) as u16,
+        false => MAX_PERMILLE as u16,
     }
 }
 
-/// A pace in thousandths, never quicker than usual.
+/// Converts a slowdown to thousandths, at least 1000.
 fn pace_permille(pace: f64) -> u32 {
     match pace > 1.0 {
-        true => (pace * 1_000.0).min(SLOWEST_PERMILLE) as u32,
+        true => (pace * 1_000.0).min(MAX_PACE_PERMILLE) as u32,
         false => 1_000,
     }
 }
 
 impl EngineState {
-    /// An engine by its newest report; `None` if it is lost. `newest_life` is the one that it tells of.
+    /// Builds the state from an engine's latest report, which is `None` if the engine is lost.
+    /// `newest_life` is the engine's incarnation.
     pub fn new(id: EndpointId, newest_life: Option<BornMs>, report: Option<&EngineReport>) -> Self {
         Self {
             id,
@@ -174,80 +176,84 @@
         }
     }
 
-    /// Whether the choice of paths is the same by another state of the engine. Engines are told of only
-    /// when they differ, so that what a leader tells does not grow with engines times VMs.
-    pub fn is_about(&self, other: &Self) -> bool {
+    /// Whether the choice of paths is about the same for another state of the engine. Only
+    /// differing states are passed on, so that the traffic of a leader does not grow with engines
+    /// times VMs.
+    pub fn is_similar(&self, other: &Self) -> bool {
         let requests = |state: &Self| state.running.saturating_add(state.waiting);
         let is_nearly_full = self.kv_permille.max(other.kv_permille) >= NEARLY_FULL_PERMILLE;
-        let tell_from = if is_nearly_full { TELL_FROM_NEARLY_FULL } else { TELL_FROM };
+        let thresholds = if is_nearly_full { NEARLY_FULL_THRESHOLDS } else { THRESHOLDS };
         self.born_ms == other.born_ms
             && self.is_lost == other.is_lost
             && self.layers == other.layers
             && (self.waiting > 0) == (other.waiting > 0)
-            && self.kv_permille.abs_diff(other.kv_permille) < tell_from.kv_permille
-            && requests(self).abs_diff(requests(other)) < tell_from.requests
+            && self.kv_permille.abs_diff(other.kv_permille) < thresholds.kv_permille
+            && requests(self).abs_diff(requests(other)) < thresholds.requests
             && self.pace_permille.abs_diff(other.pace_permille) < PACE_CHANGE_PERMILLE
     }
 }
 
-/// What a leader knows that the asking VM may not.
+/// What has changed at a leader since a follower's last request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FeedUpdate {
     /// Incarnation of the leader's process.
     pub incarnation: Incarnation,
-    /// Number of the newest board that the asking VM has seen after this.
+    /// Number of the newest hall report in this update.
     pub hall_reports_seen: u64,
-    /// Whether the leader holds the hall's lease. If not, the store is away, or another VM may take it.
+    /// Whether the leader holds the hall's lease. If not, the store is unreachable or another VM
+    /// may take it.
     pub holds_lease: bool,
-    /// Whether the leader asks the store itself and is answered. If not, another VM does for it. Said by a
-    /// leader that had lost the store, it made others rely on what they had told it themselves.
+    /// Whether the leader follows the store itself and is answered. If not, another VM does so for
+    /// it. If a leader that had lost the store set this, others would rely on what they had
+    /// reported to it themselves.
     pub follows_store: bool,
-    /// VMs of the leader's hall.
+    /// Number of VMs in the leader's hall.
     pub hall_vms: HallVms,
-    /// How long the ask was held for news, in milliseconds.
+    /// How long the request was held until there was an update, in milliseconds.
     pub held_ms: u64,
     /// Time since the leader's configuration was last confirmed, in milliseconds.
     pub confirmed_age_ms: Option<u64>,
-    /// Revision of the store up to which it was confirmed.
+    /// Revision of the store as of which it was confirmed.
     pub confirmed_at: Revision,
-    /// The configuration, if it is newer.
+    /// The configuration, if it is newer than the follower's.
     pub catalog: Option<CatalogParts>,
-    /// What is new of endpoints; `None` if the leader has not read them yet.
+    /// Changes of endpoints; `None` if the leader has not read them yet.
     pub endpoints: Option<EndpointUpdate>,
-    /// Engines of this hall and of others, as far as they are new to the asking VM.
+    /// Reports of all halls, as far as they are new to the follower.
     pub hall_reports: Vec<HallReport>,
-    /// Requests under which endpoints ended, as far as they are new to the asking VM.
+    /// Changes of the quarantine list that are new to the follower.
     pub quarantine: QuarantineNews,
-    /// What endpoints said of their limits, as far as it is new to the asking VM.
+    /// Rate limits of endpoints that are new to the follower.
     pub limits: LimitsNews,
-    /// The asking VM's parts of limits, or those of its hall if it leads another one.
+    /// The follower's parts of rate limits, or those of its hall if it leads another one.
     pub parts: Vec<PartNews>,
 }
 
 impl FeedUpdate {
-    /// When the leader's configuration was confirmed, by the clock of a VM that sent its ask at
-    /// `sent` and had its answer at `answered`. The leader answered no sooner than `held_ms` after the ask.
-    /// `None` if it tells no such time, or an absurd one.
-    pub fn confirmed_since(&self, sent: Instant, answered: Instant) -> Option<Instant> {
+    /// When the leader's configuration was confirmed, by the clock of a VM that sent its request at
+    /// `sent` and received the reply at `answered`. The leader replied no sooner than `held_ms`
+    /// after the request. `None` if the update holds no such time, or an absurd one.
+    pub fn local_confirmation_time(&self, sent: Instant, answered: Instant) -> Option<Instant> {
         let age = Duration::from_millis(self.confirmed_age_ms?);
-        self.made_at(sent, answered)?.checked_sub(age)
+        self.local_creation_time(sent, answered)?.checked_sub(age)
     }
 
-    /// When the answer was made at the earliest, by the clock of a VM that sent its ask at `sent`.
-    pub fn made_at(&self, sent: Instant, answered: Instant) -> Option<Instant> {
+    /// Earliest time at which the reply was created, by the clock of a VM that sent its request at
+    /// `sent`.
+    pub fn local_creation_time(&self, sent: Instant, answered: Instant) -> Option<Instant> {
         let held_until = sent.checked_add(Duration::from_millis(self.held_ms))?;
         Some(held_until.min(answered))
     }
 }
 
-/// Answer to [`FeedRequest`].
+/// Reply to a [`FeedRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FeedReply {
-    /// What is new.
+    /// What has changed.
     Update(Box<FeedUpdate>),
     /// The VM does not lead its hall.
     NotLeader {
-        /// Where the one that does is asked, if it knows.
+        /// Address of the leader, if known.
         leader: Option<SocketAddr>,
     },
 }
--- a/crates/sillbank_gateway/src/feed/mod.rs
+++ b/crates/sillbank_gateway/src/feed/mod.rs
@@ -1,10 +1,10 @@
-//! What VMs tell one another: the hall's leader passes on what it knows.
+//! Exchange of updates between VMs, so that few of them ask the store, which is counted and billed.
 //!
-//! The holder of a hall's lease follows the store and asks the hall's engines. The other VMs of the
-//! hall ask it instead of the store, which is counted and priced; leaders of halls ask each other.
-//! What is passed on is configuration, changes of endpoints, how old their confirmation is, and what
-//! engines report. A VM whose leader falls silent, or knows too little, follows the store itself; a leader that has
-//! lost the store is told by such a VM of its hall.
+//! The holder of a hall's lease follows the store and polls the hall's engines. The other VMs of
+//! the hall follow it instead of the store; leaders of halls follow each other. Passed on are the
+//! configuration, changes of endpoints, the age of their confirmation, and reports of engines. A VM
+//! whose leader does not answer or is stale follows the store itself. A leader that has lost the
+//! store is updated by such a VM of its hall.
 
 mod client;
 mod messages;
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -1,4 +1,4 @@
-//! A leader's side of the feed.
+//! The leader's side of the feed.
 
 use super::messages::{EndpointUpdate, FeedCursor, FeedReply, FeedRequest, FeedUpdate};
 use crate::freshness::LONG_POLL_WAIT;
@@ -13,20 +13,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Most changes of endpoints in one answer; the rest follows when the VM asks again. A change has some 90
-/// bytes, so 60 VMs that are new to a leader take 0.2 s of the smallest link known (20 Mbit/s) for a
-/// piece each, and requests run in between.
-const MOST_CHANGES: usize = 100;
-/// Most requests under which endpoints ended in one answer, some 80 bytes each; the rest follows.
-const MOST_SUSPECTS: usize = 64;
-/// Most limits of endpoints in one answer, some 40 bytes each; the rest follows.
-const MOST_LIMITS: usize = 64;
-/// How long a connection may rest between asks.
-const ASK_WAIT: Duration = Duration::from_secs(5);
-/// Pause after a connection could not be accepted.
+/// Largest number of endpoint changes in one reply; the rest follows with the next request. A
+/// change takes about 90 bytes, so one piece each for 60 new followers takes 0.2 s of the slowest
+/// known link (20 Mbit/s), and requests run in between.
+const MAX_CHANGES: usize = 100;
+/// Largest number of quarantine entries in one reply, about 80 bytes each; the rest follows.
+const MAX_SUSPECTS: usize = 64;
+/// Largest number of endpoint limits in one reply, about 40 bytes each; the rest follows.
+const MAX_LIMITS: usize = 64;
+/// Idle timeout of a connection between requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers other VMs for as long as the program runs.
+/// Serves other VMs while the program runs.
 pub async fn serve_feed<W: Wire, S: MetadataStore>(
     gateway: Rc<Gateway<W, S>>,
     listener: TcpListener,
@@ -34,37 +34,40 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                gateway.executor.spawn(serve_one(gateway.clone(), stream)).detach();
+                gateway.executor.spawn(serve_connection(gateway.clone(), stream)).detach();
             }
             Err(error) => {
-                tracing::warn!(%error, "feed: A connection was not accepted.");
+                tracing::warn!(%error, "feed: Failed to accept a connection.");
                 smol::Timer::after(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-async fn serve_one<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>, stream: TcpStream) {
+async fn serve_connection<W: Wire, S: MetadataStore>(
+    gateway: Rc<Gateway<W, S>>,
+    stream: TcpStream,
+) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(%error, "feed: A connection may wait for small packets.");
+        tracing::debug!(%error, "feed: Failed to set TCP_NODELAY on a connection.");
     }
     let mut stream = Metered::new(stream, gateway.kept.open());
     loop {
-        let late = async {
-            smol::Timer::after(ASK_WAIT).await;
+        let timeout = async {
+            smol::Timer::after(IDLE_TIMEOUT).await;
             Err(FrameError::Io(std::io::ErrorKind::TimedOut.into()))
         };
-        let asked =
-            futures_lite::future::or(read_message::<FeedRequest, _>(&mut stream), late).await;
-        let ended = match asked {
-            Ok(ask) => {
-                let reply = answer(&gateway, &ask).await;
+        let request =
+            futures_lite::future::or(read_message::<FeedRequest, _>(&mut stream), timeout).await;
+        let result = match request {
+            Ok(request) => {
+                let reply = answer(&gateway, &request).await;
                 write_message(&mut stream, &reply).await
             }
             Err(error) => Err(error),
         };
-        if let Err(error) = ended {
-            tracing::debug!(%error, "feed: A connection ended.");
+        if let Err(error) = result {
+            tracing::debug!(%error, "feed: A connection was closed.");
             return;
         }
     }
@@ -72,42 +75,48 @@
 
 async fn answer<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    ask: &FeedRequest,
+    request: &FeedRequest,
 ) -> FeedReply {
     let began = Instant::now();
     let platform = &gateway.platform;
-    let seen = ask.seen.filter(|seen| seen.incarnation == gateway.incarnation);
-    if ask.is_source_request {
+    let cursor = request.cursor.filter(|cursor| cursor.incarnation == gateway.incarnation);
+    if request.is_source_request {
         gateway.hall.on_source_request(began);
     }
-    gateway.on_reported_demand(ask, began);
-    let teller = match ask.hall == gateway.settings().hall {
+    gateway.on_reported_demand(request, began);
+    let teller = match request.hall == gateway.settings().hall {
         true => Teller::Member,
         false => Teller::Leader,
     };
-    gateway.on_reported_suspects(&ask.suspects, teller);
-    gateway.on_reported_limits(&ask.limits, "another VM");
-    let may_answer = || ask.is_source_request || gateway.hall.acting_fence.get().is_some();
-    if may_answer() && !has_news(gateway, ask, seen) {
+    gateway.on_reported_suspects(&request.suspects, teller);
+    gateway.on_reported_limits(&request.limits, "another VM");
+    let may_reply = || request.is_source_request || gateway.hall.acting_fence.get().is_some();
+    if may_reply() && !has_updates(gateway, request, cursor) {
         let wait = async {
             smol::Timer::after(LONG_POLL_WAIT).await;
         };
-        let news = futures_lite::future::or(platform.changed(), gateway.hall.report_published());
-        // Whoever asks acts by how old the confirmation is, or passes it on.
-        let news = futures_lite::future::or(news, platform.confirmed());
-        futures_lite::future::or(news, wait).await;
+        let update = futures_lite::future::or(platform.changed(), gateway.hall.report_published());
+        // Followers act on the age of the confirmation, or pass it on.
+        let update = futures_lite::future::or(update, platform.confirmed());
+        futures_lite::future::or(update, wait).await;
     }
-    if !may_answer() {
+    if !may_reply() {
         return FeedReply::NotLeader { leader: gateway.hall.leader.get() };
     }
     let now = Instant::now();
-    if ask.hall == gateway.settings().hall && !ask.is_source_request {
-        let confirmed_age = ask.confirmed_age_ms.map(Duration::from_millis);
-        gateway.hall.on_follower(&ask.vm, ask.peer, ask.leader_score, confirmed_age, now);
+    if request.hall == gateway.settings().hall && !request.is_source_request {
+        let confirmed_age = request.confirmed_age_ms.map(Duration::from_millis);
+        gateway.hall.on_follower(
+            &request.vm,
+            request.peer,
+            request.leader_score,
+            confirmed_age,
+            now,
+        );
     }
-    let catalog = has_newer_catalog(gateway, ask).then(|| platform.catalog_parts()).flatten();
+    let catalog = has_newer_catalog(gateway, request).then(|| platform.catalog_parts()).flatten();
     let (hall_reports_seen, hall_reports) =
-        gateway.hall.reports.since(seen.map_or(0, |seen| seen.hall_reports), now);
+        gateway.hall.reports.since(cursor.map_or(0, |cursor| cursor.hall_reports), now);
     FeedReply::Update(Box::new(FeedUpdate {
         incarnation: gateway.incarnation,
         hall_reports_seen,
@@ -118,54 +127,54 @@
         confirmed_age_ms: platform.stamp(now).catalog_age_ms,
         confirmed_at: platform.catalog_at(),
         catalog: catalog.map(|parts| (*parts).clone()),
-        endpoints: endpoint_news(gateway, seen),
+        endpoints: endpoint_update(gateway, cursor),
         hall_reports,
         quarantine: gateway.quarantine.borrow().news_since(
-            seen.map_or(0, |seen| seen.quarantine),
-            MOST_SUSPECTS,
+            cursor.map_or(0, |cursor| cursor.quarantine),
+            MAX_SUSPECTS,
             now,
         ),
         limits: gateway.pushback.borrow().news_since(
-            seen.map_or(0, |seen| seen.limits),
-            MOST_LIMITS,
+            cursor.map_or(0, |cursor| cursor.limits),
+            MAX_LIMITS,
             now,
         ),
-        parts: gateway.give_parts(ask, now),
+        parts: gateway.give_parts(request, now),
     }))
 }
 
-fn has_news<W: Wire, S: MetadataStore>(
+fn has_updates<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    ask: &FeedRequest,
-    seen: Option<FeedCursor>,
+    request: &FeedRequest,
+    cursor: Option<FeedCursor>,
 ) -> bool {
     let newest = gateway.platform.endpoints(Directory::newest_change);
     let urgent = gateway.quarantine.borrow().newest_urgent();
     let limits = gateway.pushback.borrow().newest();
-    let is_new = |seen: FeedCursor| {
-        seen.endpoints != newest || seen.quarantine < urgent || seen.limits < limits
+    let is_new = |cursor: FeedCursor| {
+        cursor.endpoints != newest || cursor.quarantine < urgent || cursor.limits < limits
     };
-    has_newer_catalog(gateway, ask)
-        || seen.is_none_or(is_new)
-        || gateway.owes_part(ask, Instant::now())
+    has_newer_catalog(gateway, request)
+        || cursor.is_none_or(is_new)
+        || gateway.owes_part(request, Instant::now())
 }
 
 fn has_newer_catalog<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    ask: &FeedRequest,
+    request: &FeedRequest,
 ) -> bool {
     let known = gateway.platform.catalog();
-    known.is_some_and(|known| Some(known.version()) > ask.catalog)
+    known.is_some_and(|known| Some(known.version()) > request.catalog)
 }
 
-fn endpoint_news<W: Wire, S: MetadataStore>(
+fn endpoint_update<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    seen: Option<FeedCursor>,
+    cursor: Option<FeedCursor>,
 ) -> Option<EndpointUpdate> {
     let platform = &gateway.platform;
-    let since = seen.map_or(0, |seen| seen.endpoints);
+    let since = cursor.map_or(0, |cursor| cursor.endpoints);
     let difference =
-        |directory: &Directory| directory.difference(Instant::now(), since, MOST_CHANGES);
+        |directory: &Directory| directory.difference(Instant::now(), since, MAX_CHANGES);
     platform.knows_endpoints().then(|| EndpointUpdate {
         at: platform.endpoints_at(),
         difference: platform.endpoints(difference),
--- a/crates/sillbank_gateway/src/feed/source.rs
+++ b/crates/sillbank_gateway/src/feed/source.rs
@@ -1,6 +1,6 @@
-//! A leader that has lost the store asks a VM of its hall that has not.
+//! A leader that has lost the store follows a VM of its hall that has not, its source.
 
-use super::client::{AskFor, Link, ask_once, take_news};
+use super::client::{Connection, RequestKind, apply_update, request_once};
 use super::messages::FeedReply;
 use crate::freshness::SOURCE_CHECK_INTERVAL;
 use crate::gateway::Gateway;
@@ -11,27 +11,26 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Asks the leader's source for what it knows whenever this VM leads and needs one, for as long as the
-/// program runs.
+/// Follows a source whenever this VM leads and needs one, while the program runs.
 pub async fn follow_source<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
-    let mut link: Option<Link> = None;
+    let mut connection: Option<Connection> = None;
     let mut source: Option<SocketAddr> = None;
     loop {
         source = choose_source(&gateway, source);
         let Some(address) = source else {
-            link = None;
+            connection = None;
             smol::Timer::after(SOURCE_CHECK_INTERVAL).await;
             continue;
         };
         let sent = Instant::now();
-        match ask_once(&gateway, &mut link, address, &AskFor::SourceNews).await {
-            Ok(FeedReply::Update(news)) => {
-                take_news(&gateway, &mut link, *news, sent, true);
+        match request_once(&gateway, &mut connection, address, &RequestKind::Source).await {
+            Ok(FeedReply::Update(update)) => {
+                apply_update(&gateway, &mut connection, *update, sent, true);
             }
             Ok(FeedReply::NotLeader { .. }) => source = None,
             Err(error) => {
-                tracing::info!(source = %address, %error, "feed: The source is lost.");
-                link = None;
+                tracing::info!(source = %address, %error, "feed: The source does not answer.");
+                connection = None;
                 source = None;
                 smol::Timer::after(SOURCE_CHECK_INTERVAL).await;
             }
@@ -39,10 +38,10 @@
     }
 }
 
-/// The VM that this one asks, if it leads and needs one.
+/// The VM to follow, if this VM leads and needs a source.
 fn choose_source<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    asked_so_far: Option<SocketAddr>,
+    current: Option<SocketAddr>,
 ) -> Option<SocketAddr> {
     let now = Instant::now();
     let confirmed = gateway.platform.catalog_confirmed()?;
@@ -51,8 +50,8 @@
         max_staleness: gateway.freshness().max_staleness,
         store_is_reached: gateway.store_is_reached(),
     };
-    let chosen = need.choose(&gateway.hall, now, asked_so_far);
-    if chosen.is_some() && chosen != asked_so_far {
+    let chosen = need.choose(&gateway.hall, now, current);
+    if chosen.is_some() && chosen != current {
         let confirmed_age_ms = now.saturating_duration_since(confirmed).as_millis() as u64;
         tracing::info!(
             source = ?chosen,
--- a/crates/sillbank_gateway/src/follow.rs
+++ b/crates/sillbank_gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the store: configuration and endpoints, by watches that are never left to hang.
+//! Follows the configuration and the endpoints in the store, by watches with a bounded wait.
 
 use crate::backoff::Backoff;
 use crate::freshness::{SOURCE_CHECK_INTERVAL, confirmed_by_watch};
@@ -12,18 +12,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a watch of endpoints waits. A watch that was cut off without a word is noticed after
-/// this and the store's own limit for an answer, so that both together bound how old a list may be.
-pub const ENDPOINTS_WAIT: Duration = Duration::from_millis(1_500);
-/// Pause after changes of endpoints before the next watch, so that changes that come together cost
-/// one call. An endpoint that leaves must get no work after two seconds.
-const GATHER: Duration = Duration::from_millis(300);
-/// How long the first watch waits after calls that failed, or of a VM that was told by its leader so far:
-/// it wants to know at once whether something changed. With a whole wait VMs served again 1.8 s after the
-/// end of an outage.
-const FIRST_WAIT: Duration = Duration::from_millis(10);
+/// Wait of a watch of endpoints. A watch whose connection was cut silently is detected after this
+/// time plus the store's answer timeout, so both together bound how stale a list may be.
+pub const ENDPOINTS_WATCH_WAIT: Duration = Duration::from_millis(1_500);
+/// Pause after changes of endpoints before the next watch, so that simultaneous changes cost one
+/// call. An endpoint that leaves must get no work after two seconds.
+const BATCH_PAUSE: Duration = Duration::from_millis(300);
+/// Wait of the first watch after failed calls, or of a VM that relied on its leader so far: whether
+/// something changed is needed at once. With a full wait VMs served again only 1.8 s after the end
+/// of an outage.
+const FIRST_WATCH_WAIT: Duration = Duration::from_millis(10);
 
-/// Waits before the next call, and looks again and again whether the leader is still there.
+/// Waits before the next call, and rechecks at intervals whether the leader is still live.
 async fn pause<W: Wire, S: MetadataStore>(backoff: &mut Backoff, gateway: &Gateway<W, S>) {
     let pause = backoff.next_pause(Instant::now(), gateway.chance.fraction());
     loop {
@@ -35,7 +35,7 @@
     }
 }
 
-pub(crate) fn source_view<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) -> SourceState {
+pub(crate) fn source_state<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) -> SourceState {
     let (now, hall) = (Instant::now(), &gateway.hall);
     SourceState {
         leader_is_live: hall.leader_is_live(now),
@@ -49,34 +49,34 @@
     }
 }
 
-/// Waits while the hall's leader tells enough; answers whether it did so far.
-async fn wait_for_need<W: Wire, S: MetadataStore>(
+/// Waits while the hall's leader is fresh enough. Returns whether this VM relied on it.
+async fn wait_while_leader_suffices<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
-    followed: WatchKind,
+    kind: WatchKind,
 ) -> bool {
-    let mut was_told = false;
-    while relies_on_leader(followed, source_view(gateway)) {
-        was_told = true;
+    let mut relied_on_leader = false;
+    while relies_on_leader(kind, source_state(gateway)) {
+        relied_on_leader = true;
         smol::Timer::after(SOURCE_CHECK_INTERVAL).await;
     }
-    was_told
+    relied_on_leader
 }
 
-/// Follows the configuration for as long as the program runs.
+/// Follows the configuration while the program runs.
 pub async fn follow_catalog<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     let mut since: Option<Revision> = None;
     let mut backoff = Backoff::default();
     let mut excess = Duration::ZERO;
     let mut has_failed = false;
     loop {
-        let was_told = wait_for_need(&gateway, WatchKind::Catalog).await;
-        if was_told {
-            // What the leader told is newer than what was last watched here.
+        let relied_on_leader = wait_while_leader_suffices(&gateway, WatchKind::Catalog).await;
+        if relied_on_leader {
+            // The leader reported something newer than the last watch here.
             since = Some(gateway.platform.catalog_at()).filter(|at| *at > Revision::NONE);
         }
         let sent = Instant::now();
-        let wait = match was_told || has_failed {
-            true => FIRST_WAIT,
+        let wait = match relied_on_leader || has_failed {
+            true => FIRST_WATCH_WAIT,
             false => gateway.freshness().watch_wait_after(excess),
         };
         let is_watch = since.is_some();
@@ -97,7 +97,7 @@
                     confirmed = confirmed_by_watch(sent, wait, answered);
                     excess = answered.saturating_duration_since(sent + wait);
                 }
-                if take_catalog(&gateway, read) && !gateway.platform.was_suspended_since(sent) {
+                if apply_catalog(&gateway, read) && !gateway.platform.was_suspended_since(sent) {
                     gateway.platform.confirm_catalog_by_store(confirmed, at);
                 }
             }
@@ -116,8 +116,8 @@
     }
 }
 
-/// Takes what was read; answers whether the configuration in force is confirmed by it.
-fn take_catalog<W: Wire, S: MetadataStore>(
+/// Applies what was read. Returns whether this confirms the configuration in force.
+fn apply_catalog<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     read: Snapshot<Option<CatalogRead>>,
 ) -> bool {
@@ -139,7 +139,7 @@
                 version,
                 at = %read.at,
                 error,
-                "catalog: A configuration cannot be used; the one before stays until its lease ends."
+                "catalog: The configuration is invalid; the previous one stays in force until its lease ends."
             );
             gateway.metrics.catalog_faults.inc();
             false
@@ -147,14 +147,14 @@
     }
 }
 
-/// Follows the endpoints for as long as the program runs.
+/// Follows the endpoints while the program runs.
 pub async fn follow_endpoints<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     let mut since: Option<Revision> = None;
     let mut backoff = Backoff::default();
     let mut rereads = gateway.platform.rereads();
     loop {
-        if wait_for_need(&gateway, WatchKind::Endpoints).await {
-            // The leader's list is newer than what was last watched here.
+        if wait_while_leader_suffices(&gateway, WatchKind::Endpoints).await {
+            // The leader's list is newer than the last watch here.
             since = Some(gateway.platform.endpoints_at()).filter(|at| *at > Revision::NONE);
         }
         if std::mem::replace(&mut rereads, gateway.platform.rereads()) != rereads {
@@ -172,7 +172,7 @@
             }
             Err(error) => {
                 gateway.on_store_error("endpoints", sent, &error);
-                // What was missed is read again whole: a watch that was cut may have missed changes.
+                // A watch that was cut may have missed changes, so the whole list is read again.
                 since = None;
                 pause(&mut backoff, &gateway).await;
             }
@@ -195,32 +195,34 @@
     gateway.reset_restarted_endpoints();
     gateway.log_held_back();
     gateway.on_removals(&removals);
-    smol::Timer::after(GATHER).await;
+    smol::Timer::after(BATCH_PAUSE).await;
     Ok(at)
 }
 
-/// Waits for changes, unless another call finds that the store was away and is back: the watch may have been sent on a
-/// connection that is silent since, and would be waited for until its limit. `None` if so.
-async fn changes_or_store_return<W: Wire, S: MetadataStore>(
+/// Waits for changes, or until another call finds that the store has recovered. The watch may have
+/// been sent on a connection that is dead since, and would otherwise run into its timeout. Returns
+/// `None` in that case.
+async fn changes_or_store_recovery<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     since: Revision,
 ) -> Result<Option<Snapshot<Vec<Change>>>, StoreError> {
-    let watch = async { gateway.store.watch_endpoints(since, ENDPOINTS_WAIT).await.map(Some) };
-    let returned = async {
-        gateway.platform.store_returned().await;
-        tracing::debug!("store: The watch of endpoints begins again, as the store was away.");
+    let watch =
+        async { gateway.store.watch_endpoints(since, ENDPOINTS_WATCH_WAIT).await.map(Some) };
+    let recovered = async {
+        gateway.platform.store_recovered().await;
+        tracing::debug!("store: The watch of endpoints is restarted after an outage.");
         Ok(None)
     };
-    futures_lite::future::or(watch, returned).await
+    futures_lite::future::or(watch, recovered).await
 }
 
-/// Takes the changes since a revision; answers the revision to go on from.
+/// Applies the changes since a revision. Returns the revision to continue from.
 async fn watch_endpoints<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     since: Revision,
 ) -> Result<Revision, StoreError> {
     let sent = Instant::now();
-    let Some(changes) = changes_or_store_return(gateway, since).await? else {
+    let Some(changes) = changes_or_store_recovery(gateway, since).await? else {
         return Ok(since);
     };
     let has_changes = !changes.value.is_empty();
@@ -241,7 +243,7 @@
     gateway.log_held_back();
     gateway.on_removals(&removals);
     if has_changes {
-        smol::Timer::after(GATHER).await;
+        smol::Timer::after(BATCH_PAUSE).await;
     }
     Ok(at)
 }
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The parts of a gateway that its tasks share.
+//! State that all tasks of a gateway share.
 
 use crate::call_tracker::CallTracker;
 use crate::channels::ChannelPool;
@@ -38,91 +38,94 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Age of a process up to which requests wait for its first configuration and endpoints, and for what is known of
-/// requests that end endpoints: when all VMs begin at once, each would send such a one again. It has them some
-/// 0.3 s after it began, also when all VMs began at once. Without the wait, 660 callers of 300 VMs were
-/// refused then.
+/// Age of a process up to which requests wait for the first configuration, endpoints and quarantine
+/// list. All of them are there about 0.3 s after the start, also when all VMs start at once.
+/// Without the wait, 660 callers of 300 VMs were refused at such a start, and each VM would send
+/// quarantined requests once more.
 pub const STARTUP_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Where the process stands between start and end.
+/// Lifecycle of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LifecycleState {
-    /// It serves.
+    /// It serves requests.
     Serving,
-    /// It was asked to stop; the balancer may not know yet, so new requests are still taken.
+    /// It was asked to stop. New requests are still accepted, as the load balancer may not know
+    /// yet.
     Draining,
-    /// It ends what it has and takes nothing new.
+    /// It finishes the requests in progress and accepts no new ones.
     Stopping,
 }
 
-/// What all tasks of a gateway share.
+/// State that all tasks of a gateway share.
 #[derive(Debug)]
 pub struct Gateway<W, S> {
     /// Settings in force.
     pub settings: RefCell<Rc<GatewaySettings>>,
     /// The platform's store.
     pub store: CountedStore<S>,
-    /// Configuration and endpoints.
+    /// This VM's view of the platform: configuration and endpoints.
     pub platform: PlatformView,
-    /// Entries of endpoints that cannot be read.
+    /// Entries of endpoints that could not be parsed.
     pub unreadable: UnreadableEntries,
-    /// Who leads this hall, and what leaders tell of engines.
+    /// Leader and followers of this hall, and the reports of all halls.
     pub hall: Hall,
-    /// What was seen of endpoints.
+    /// Health of endpoints and work in flight, as this VM observes them.
     pub endpoint_tracker: Rc<EndpointTracker>,
-    /// Endpoints that ended under requests.
+    /// Endpoints that ended while they ran a request.
     pub ends: EndedEndpoints,
-    /// What endpoints asked of VMs in their answers.
+    /// Rate limits and pauses that endpoints asked for in their answers.
     pub pushback: RefCell<PushbackBook>,
-    /// What this VM has given away of their limits while it leads.
+    /// Parts of the endpoints' rate limits that this VM hands out while it leads.
     pub limit_parts: LimitParts,
-    /// Requests under which endpoints ended.
+    /// Requests during which endpoints ended.
     pub quarantine: RefCell<Quarantine>,
-    /// Whether a leader told of them, or the store was read, since this process began.
+    /// Whether the quarantine list was received from a leader or read from the store since the
+    /// start.
     pub quarantine_is_loaded: Cell<bool>,
-    /// Newest of their changes that those who ask this VM were woken for.
+    /// Newest urgent change of the quarantine for which followers were woken.
     pub(crate) quarantine_announced: Cell<u64>,
-    /// What was seen of endpoints of plain services.
+    /// Answer times of the endpoints of plain services.
     pub call_tracker: CallTracker,
-    /// What was learnt of forecasts of streams.
+    /// Corrections learnt for stream forecasts.
     pub forecasts: Forecasts,
-    /// Streams in progress, by what was last heard of them.
+    /// Streams in progress with the time of their last event.
     pub heard: Rc<HeardStreams>,
-    /// What is known of the load on services.
+    /// Load shedding by service.
     pub load: FleetLoad,
-    /// What this VM and its hall are asked for.
+    /// Demand on this VM and its hall.
     pub demand: DemandTracker,
     /// Connections to endpoints.
     pub channels: ChannelPool,
-    /// Calls to engines beside requests: reports and orders.
+    /// HTTP client for reports and orders of engines.
     pub engine_calls: HttpClient,
-    /// Decision lines.
+    /// Writes the decision log.
     pub decisions: Decisions,
     /// Metrics.
     pub metrics: Metrics,
-    /// What is kept for callers and endpoints.
+    /// Bytes buffered for callers and endpoints.
     pub kept: KeptBytes,
-    /// How near this VM is to its limits.
+    /// How near this VM is to its own limits.
     pub limits: RefCell<LimitMeter>,
     /// Runs tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Where the process stands.
+    /// Lifecycle state of the process.
     pub lifecycle: Cell<LifecycleState>,
-    /// Drawn at the start, to tell this process from others on the same VM.
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     pub incarnation: Incarnation,
-    /// What is decided by chance is drawn here.
+    /// Source of randomness for all decisions.
     pub chance: Chance,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: Cell<u64>,
     store_reached: Cell<bool>,
-    /// Repeats that were drawn, by service.
+    /// Retry budgets by service.
     pub(crate) budgets: RefCell<HashMap<ServiceId, RetryBudget>>,
     began: Instant,
     wire: PhantomData<W>,
 }
 
 impl<W: Wire, S> Gateway<W, S> {
-    /// A gateway that knows nothing yet, and draws from `chance` whatever it decides by chance.
+    /// Creates a gateway with an empty view of the platform. All random decisions draw from
+    /// `chance`.
     pub fn new(
         settings: GatewaySettings,
         store: S,
@@ -173,13 +176,13 @@
         self.settings.borrow().clone()
     }
 
-    /// How fresh a leader keeps what it passes on.
+    /// Staleness bounds that follow from the settings in force.
     pub fn freshness(&self) -> Freshness {
         let settings = self.settings.borrow();
         Freshness::new(settings.config_in_force, settings.key_revocation)
     }
 
-    /// What paths are chosen from.
+    /// Everything that the choice of a path depends on.
     pub fn routing_context(&self, now: Instant) -> RoutingContext<'_> {
         let mechanisms = self.settings.borrow().mechanisms;
         RoutingContext {
@@ -193,13 +196,14 @@
         }
     }
 
-    /// Whether this VM leads and the leader of another hall follows the store for it.
+    /// Whether this VM leads and relies on the leader of another hall to follow the store. See
+    /// [`Hall::upstream_is_fresh`].
     pub fn upstream_is_fresh(&self, now: Instant) -> bool {
         let freshness = self.freshness();
         self.hall.upstream_is_fresh(&self.settings.borrow().hall, now, freshness)
     }
 
-    /// Where this VM stands to its limits, as far as it acts on that.
+    /// How near this VM is to its limits; always `Clear` when the mechanism is off.
     pub fn standing(&self) -> Standing {
         match self.settings.borrow().mechanisms.vm_limits {
             true => self.limits.borrow().standing(),
@@ -207,8 +211,8 @@
         }
     }
 
-    /// How fit this VM is to lead its hall; 0 while it does not serve, or is near a limit: what a leader
-    /// does for a hall takes link and processor.
+    /// How fit this VM is to lead its hall. It is 0 while the VM does not serve or is near a limit,
+    /// as leading takes network bandwidth and processor time.
     pub fn leader_score(&self) -> LeaderScore {
         let settings = self.settings.borrow();
         match self.lifecycle.get() {
@@ -218,23 +222,23 @@
         }
     }
 
-    /// When the process began.
+    /// When the process started.
     pub fn began(&self) -> Instant {
         self.began
     }
 
-    /// Time since the process began.
+    /// Time since the process started.
     pub fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.began)
     }
 
-    /// Whether requests that end endpoints are known as far as they can be: a leader told of them, the store was
-    /// read, or neither did for so long that requests do not wait any more.
+    /// Whether the quarantine list was loaded, or the startup wait for it is over.
     fn knows_quarantine(&self, now: Instant) -> bool {
         self.quarantine_is_loaded.get() || self.age(now) >= STARTUP_WAIT
     }
 
-    /// Whether new work should come to this VM. One that is near a limit leaves it to others, if they suffice.
+    /// Whether the VM reports itself ready for new work. A VM near a limit does not, as long as
+    /// enough other VMs of its hall are fit.
     pub fn is_ready(&self, now: Instant) -> bool {
         self.lifecycle.get() == LifecycleState::Serving
             && self.platform.is_fresh(now)
@@ -243,7 +247,7 @@
             && (self.standing() == Standing::Clear || !self.hall.others_suffice(now))
     }
 
-    /// Takes a configuration that was read as of a revision, unless a newer one is in force.
+    /// Applies a configuration read at revision `at`, unless a newer one is in force.
     pub fn offer_catalog(&self, catalog: Catalog, parts: CatalogParts, at: Revision) {
         let (version, services) = (parts.version, parts.services.clone());
         let is_taken = self.platform.offer_catalog(catalog, parts);
@@ -253,7 +257,7 @@
         }
     }
 
-    /// The store answered a call that was sent at a moment, as of a revision.
+    /// Records that the store answered a call sent at `sent`, as of revision `at`.
     pub fn on_store_answer(&self, follower: &'static str, sent: Instant, at: Revision) {
         self.metrics.store_era.set(at.era as i64);
         self.platform.on_call_answered(sent);
@@ -263,11 +267,11 @@
         }
     }
 
-    /// A call to the store that was sent at a moment failed.
+    /// Records that a call to the store sent at `sent` failed.
     pub fn on_store_error(&self, follower: &'static str, sent: Instant, error: &StoreError) {
         self.metrics.store_errors.get_or_create(&KindLabel { kind: follower }).inc();
         if error.requires_reread() {
-            tracing::info!(follower, %error, "store: History gone.");
+            tracing::info!(follower, %error, "store: A watch cannot continue; everything is read again.");
             return;
         }
         let is_trouble = self.platform.on_call_failed(sent, Instant::now(), error.trouble());
@@ -276,14 +280,14 @@
         }
     }
 
-    /// An entry of an endpoint cannot be read.
+    /// Records an endpoint entry that cannot be parsed.
     pub fn on_unreadable(&self, entry: &UnreadableEntry) {
         if self.unreadable.note(entry) {
             self.metrics.unreadable.get_or_create(&KindLabel { kind: "entry" }).inc();
         }
     }
 
-    /// Entries of endpoints are gone.
+    /// Drops what is kept for endpoints whose entries were removed.
     pub fn on_removals(&self, removals: &[(EndpointId, Removal)]) {
         let stamp = self.platform.stamp(Instant::now());
         for (id, removal) in removals {
@@ -295,7 +299,8 @@
         }
     }
 
-    /// Takes what a leader told of endpoints; with `is_wanted` false only notes that it was told.
+    /// Applies the endpoints that a leader reported. If `is_wanted` is false, they are only marked
+    /// as received.
     pub fn on_reported_endpoints(
         &self,
         replication: &mut Replication,
@@ -310,7 +315,7 @@
         self.on_removals(&removals);
     }
 
-    /// Logs the endpoints whose entries in a restored store are held back.
+    /// Logs endpoints whose entries in a restored store are ignored.
     pub fn log_held_back(&self) {
         for endpoint in self.platform.take_held_back() {
             self.metrics.held_back.inc();
@@ -326,8 +331,9 @@
         self.store_reached.get()
     }
 
-    /// Takes evidence of an endpoint's health, by an exchange that began at a moment, and logs a change of its
-    /// standing. What began before the endpoint started again tells nothing of it.
+    /// Applies evidence of an endpoint's health from an exchange that began at `began`, and logs
+    /// when the endpoint is ejected or used again. Evidence from before the endpoint's last restart
+    /// is ignored.
     pub fn on_evidence(&self, endpoint: &str, evidence: Evidence, began: Instant, reason: &str) {
         let now = Instant::now();
         if self.endpoint_tracker.restarted_since(endpoint, began) {
@@ -345,7 +351,7 @@
         }
     }
 
-    /// A request ended: counts and logs it.
+    /// Counts and logs the end of a request.
     pub fn on_end(&self, job: &Job, outcome: Outcome, status: u16, events: u64, reason: &str) {
         let label = OutcomeLabel { outcome: outcome.name(), status };
         self.metrics.requests.get_or_create(&label).inc();
@@ -358,7 +364,7 @@
         self.decisions.ended(job, outcome, status, events, reason);
     }
 
-    /// The first part of an answer is there.
+    /// Records the time to the first part of an answer.
     pub fn on_first_answer(&self, job: &Job) {
         let kind = KindLabel { kind: work_name(job) };
         self.metrics.first_answer_s.get_or_create(&kind).observe(job.began.elapsed().as_secs_f64());
--- a/crates/sillbank_gateway/src/hall.rs
+++ b/crates/sillbank_gateway/src/hall.rs
@@ -1,9 +1,9 @@
-//! Who leads this VM's hall, and who asks it if this VM does.
+//! The state of this VM's hall: its leader, and the followers while this VM leads.
 
 use crate::feed::HallReport;
 use crate::freshness::Freshness;
 use crate::hall_reports::HallReports;
-use crate::platform_view::wait_in;
+use crate::platform_view::register_waker;
 use crate::revision::Revision;
 use crate::vm_limits::others_suffice;
 use serde::{Deserialize, Serialize};
@@ -14,50 +14,53 @@
 use std::task::{Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// How long news of a leader are relied on. Leaders answer within 400 ms also if nothing is new.
+/// Time after the last update from which a leader counts as lost. Leaders reply within 400 ms also
+/// if nothing is new.
 pub const LEADER_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How long a VM counts that has asked its leader.
+/// Time after its last request from which a follower is dropped.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// VMs of a hall up to which each of them may call the store as if it were alone. Beyond, calls that
-/// fail are spread out, so that a hall's calls in an outage do not grow with it.
-const FEW_VMS: u32 = 4;
-
-/// Longest pause between calls to a store that does not answer: knowledge is wanted back soon after the
-/// store, and each call is priced, also one that fails.
-const PAUSE_MAX: Duration = Duration::from_millis(500);
-/// Longest pause of a VM of a large hall that nobody tells of the store's return. At 2.5 s VMs refused
-/// for 2 s after an outage of the store.
-const PAUSE_MAX_ALONE: Duration = Duration::from_millis(1_200);
-
-/// How fit a VM is to lead: its processors times the rate of its link in Mbit/s. What a leader does for
-/// a hall takes both; with 60 VMs a link of 20 Mbit/s took 1.8 s to pass a configuration on to all.
+/// Size of a hall up to which each VM calls the store as if it were alone. In larger halls the
+/// pauses after failed calls grow with the number of VMs, so that the calls of the hall during an
+/// outage do not.
+const SMALL_HALL_VMS: u32 = 4;
+
+/// Longest pause between calls to a store that does not answer. Fresh knowledge is wanted soon
+/// after the store is back, but each call is billed, including failed ones.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Longest such pause of a VM in a large hall that has no leader to learn from. At 2.5 s VMs
+/// refused requests for 2 s after an outage of the store.
+const MAX_LEADERLESS_RETRY_PAUSE: Duration = Duration::from_millis(1_200);
+
+/// How fit a VM is to lead: its processors times the rate of its link in Mbit/s, as leading a hall
+/// takes both. In a hall of 60 VMs a link of 20 Mbit/s took 1.8 s to pass a configuration on to
+/// all.
 pub type LeaderScore = f64;
 
-/// VMs of a hall as its leader knows them.
+/// Number of VMs of a hall, as its leader knows them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HallVms {
-    /// All that ask it, and itself.
+    /// Followers and the leader.
     pub vms: u32,
-    /// Those of them that are near no limit of theirs and are not stopping.
+    /// Those of them that are neither near a limit nor stopping.
     pub fit: u32,
 }
 
-/// A VM of this hall that asks its leader.
+/// A VM of this hall that follows this leader.
 #[derive(Debug, Clone, Copy)]
 struct Follower {
     at: Instant,
     peer: SocketAddr,
     leader_score: LeaderScore,
-    /// When its configuration was last confirmed, by its word and the time at which it came. Only a hint:
-    /// it may have been on its way for long.
+    /// When its configuration was last confirmed, as it reported on arrival of its request. Only a
+    /// hint, as the request may have been delayed.
     confirmed: Option<Instant>,
 }
 
-/// What the leader of another hall said of itself.
+/// What the leader of another hall reported about itself.
 #[derive(Debug, Clone, Copy)]
 struct OtherLeader {
-    heard: Instant,
+    last_update: Instant,
     confirmed: Option<Instant>,
     follows_store: bool,
 }
@@ -67,43 +70,45 @@
 pub struct Hall {
     /// Fence of the hall's lease while this VM holds it.
     pub lease_fence: Cell<Option<Revision>>,
-    /// Fence under which this VM led last, until it knows of another leader. It goes on telling what it
-    /// knows while the store is away and nobody can hold the lease.
+    /// Fence under which this VM last held the lease, until it learns of another leader. While it
+    /// is set, this VM acts as leader: it keeps updating its followers while the store is
+    /// unreachable and no VM can hold the lease.
     pub acting_fence: Cell<Option<Revision>>,
-    /// Where the leader is asked, if it is another VM.
+    /// Address of the leader, if that is another VM.
     pub leader: Cell<Option<SocketAddr>>,
-    heard: Cell<Option<Instant>>,
+    last_update: Cell<Option<Instant>>,
     confirmed: Cell<Option<Instant>>,
     leader_holds_lease: Cell<bool>,
     other_leaders: RefCell<BTreeMap<HallId, OtherLeader>>,
-    /// What leaders tell of engines.
+    /// Reports of all halls.
     pub reports: HallReports,
     chance: Chance,
     followers: RefCell<BTreeMap<VmId, Follower>>,
-    /// Where the leader is asked by the word of the one before; goes before what was read of the lease.
+    /// Leader named by the previous leader; takes precedence over the lease as read.
     redirect: Cell<Option<SocketAddr>>,
-    /// Whether the leader before handed its lease to this VM.
+    /// Whether the previous leader handed its lease to this VM.
     is_nominated: Cell<bool>,
     max_hall_vms: Cell<u32>,
-    /// What the leader last told of the hall's VMs.
+    /// Size of the hall as the leader last reported it.
     reported_vms: Cell<HallVms>,
-    /// When it is this VM's turn to ask the store if the leader tells too little, from 0 to 1.
-    turn: Cell<f64>,
-    /// When the leader last asked this VM for what it knows.
+    /// When this VM asks the store if the leader's updates are stale, relative to the other VMs of
+    /// the hall: 0 is first, 1 is last.
+    stagger: Cell<f64>,
+    /// When the leader last used this VM as its source.
     source_requested_at: Cell<Option<Instant>>,
-    wakes: Cell<u64>,
-    waiting: RefCell<Vec<Waker>>,
+    wake_count: Cell<u64>,
+    wakers: RefCell<Vec<Waker>>,
 }
 
 impl Hall {
-    /// A hall of which nothing is known yet; a VM's turns to ask the store are drawn from `chance`.
+    /// Creates an empty state. The stagger of this VM's calls to the store is drawn from `chance`.
     pub fn new(chance: Chance) -> Self {
         Self {
             reported_vms: Cell::default(),
             lease_fence: Cell::default(),
             acting_fence: Cell::default(),
             leader: Cell::default(),
-            heard: Cell::default(),
+            last_update: Cell::default(),
             confirmed: Cell::default(),
             leader_holds_lease: Cell::default(),
             other_leaders: RefCell::default(),
@@ -113,55 +118,55 @@
             redirect: Cell::default(),
             is_nominated: Cell::default(),
             max_hall_vms: Cell::default(),
-            turn: Cell::default(),
+            stagger: Cell::default(),
             source_requested_at: Cell::default(),
-            wakes: Cell::default(),
-            waiting: RefCell::default(),
+            wake_count: Cell::default(),
+            wakers: RefCell::default(),
         }
     }
 
-    /// The leader answered; `confirmed` is when its configuration was last confirmed, `holds_lease`
-    /// whether it holds the hall's lease.
+    /// Records an update of the leader. `confirmed` is when its configuration was last confirmed,
+    /// `holds_lease` whether it holds the hall's lease.
     pub fn on_leader_update(&self, now: Instant, confirmed: Option<Instant>, holds_lease: bool) {
-        self.heard.set(Some(now));
+        self.last_update.set(Some(now));
         if self.confirmed.replace(confirmed) != confirmed {
-            // Few VMs draw an early turn: the root of a number drawn evenly from 0 to 1 is seldom small.
-            self.turn.set(self.chance.fraction().sqrt());
+            // The square root makes early calls rare, so that few VMs of a hall make them.
+            self.stagger.set(self.chance.fraction().sqrt());
         }
         self.leader_holds_lease.set(holds_lease);
     }
 
-    /// The leader is lost or leads no more.
+    /// The leader does not answer or no longer leads.
     pub fn on_leader_lost(&self) {
-        self.heard.set(None);
+        self.last_update.set(None);
     }
 
-    /// Whether the leader has been heard of lately.
+    /// Whether the leader sent an update recently.
     pub fn leader_is_live(&self, now: Instant) -> bool {
         let is_live = |at: Instant| now.saturating_duration_since(at) < LEADER_TIMEOUT;
-        self.acting_fence.get().is_none() && self.heard.get().is_some_and(is_live)
+        self.acting_fence.get().is_none() && self.last_update.get().is_some_and(is_live)
     }
 
-    /// Whether this VM leads or hears of the VM that does.
+    /// Whether this VM acts as leader or receives updates from one.
     pub fn has_leader(&self, now: Instant) -> bool {
         self.acting_fence.get().is_some() || self.leader_is_live(now)
     }
 
-    /// Whether the leader has said lately that it holds the hall's lease.
+    /// Whether the leader recently reported that it holds the hall's lease.
     pub fn leader_holds_lease(&self, now: Instant) -> bool {
         self.leader_is_live(now) && self.leader_holds_lease.get()
     }
 
-    /// Whether the leader tells enough for this VM not to ask the store itself.
+    /// Whether the leader's updates are fresh enough for this VM not to ask the store itself.
     pub fn leader_is_fresh(&self, now: Instant, freshness: Freshness) -> bool {
         let max_staleness =
-            freshness.max_staleness_for_member(self.max_hall_vms.get(), self.turn.get());
+            freshness.max_staleness_for_member(self.max_hall_vms.get(), self.stagger.get());
         let is_fresh = |age: Duration| age < max_staleness;
         self.leader_is_live(now) && self.confirmation_age(now).is_some_and(is_fresh)
     }
 
-    /// The leader of another hall answered; `confirmed` is when its configuration was last confirmed,
-    /// `follows_store` whether it asks the store itself.
+    /// Records an update of the leader of another hall. `confirmed` is when its configuration was
+    /// last confirmed, `follows_store` whether it asks the store itself.
     pub fn on_other_leader_update(
         &self,
         hall: &str,
@@ -169,36 +174,37 @@
         confirmed: Option<Instant>,
         follows_store: bool,
     ) {
-        let told = OtherLeader { heard: now, confirmed, follows_store };
-        self.other_leaders.borrow_mut().insert(hall.to_owned(), told);
+        let reported = OtherLeader { last_update: now, confirmed, follows_store };
+        self.other_leaders.borrow_mut().insert(hall.to_owned(), reported);
     }
 
-    /// The leader of another hall is lost or leads no more.
+    /// The leader of another hall does not answer or no longer leads.
     pub fn on_other_leader_lost(&self, hall: &str) {
         self.other_leaders.borrow_mut().remove(hall);
     }
 
-    /// Whether this VM leads the hall `own` and the leader of a hall that comes before it by name follows the
-    /// store and tells enough. By the order of names no two leaders rely on each other. One follower saves calls:
-    /// 0.08 of all worth in a fleet of 23 VMs in five halls.
+    /// Whether this VM leads the hall `own` and can rely on an upstream leader: the leader of a
+    /// hall with a smaller name that follows the store and whose updates are fresh. The order of
+    /// names keeps leaders from relying on each other. A single follower of the store saves billed
+    /// calls: 0.08 of the total value in a fleet of 23 VMs in five halls.
     pub fn upstream_is_fresh(&self, own: &str, now: Instant, freshness: Freshness) -> bool {
         let since = |at: Instant| now.saturating_duration_since(at);
-        let suffices = |told: &OtherLeader| {
-            let is_fresh = told.confirmed.is_some_and(|at| since(at) < freshness.max_staleness);
-            told.follows_store && since(told.heard) < LEADER_TIMEOUT && is_fresh
+        let suffices = |reported: &OtherLeader| {
+            let is_fresh = reported.confirmed.is_some_and(|at| since(at) < freshness.max_staleness);
+            reported.follows_store && since(reported.last_update) < LEADER_TIMEOUT && is_fresh
         };
         let others = self.other_leaders.borrow();
-        let mut seniors = others.iter().filter(|(hall, _)| hall.as_str() < own);
-        self.acting_fence.get().is_some() && seniors.any(|(_, told)| suffices(told))
+        let mut upstream = others.iter().filter(|(hall, _)| hall.as_str() < own);
+        self.acting_fence.get().is_some() && upstream.any(|(_, reported)| suffices(reported))
     }
 
-    /// Time since the leader's configuration was last confirmed, as far as it told.
+    /// Time since the leader's configuration was last confirmed, as far as it reported.
     pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         self.confirmed.get().map(|at| now.saturating_duration_since(at))
     }
 
-    /// Notes that a VM of this hall asked, whose configuration was confirmed `confirmed_age` ago; answers how
-    /// many did lately, this VM included.
+    /// Records a request of a follower whose configuration was confirmed `confirmed_age` ago.
+    /// Returns the current number of VMs of the hall, including this one.
     pub fn on_follower(
         &self,
         vm: &str,
@@ -215,7 +221,7 @@
         self.live_vms(now)
     }
 
-    /// VMs of this hall that asked lately, and this one.
+    /// Followers with a recent request, and this VM.
     pub fn live_vms(&self, now: Instant) -> u32 {
         let mut followers = self.followers.borrow_mut();
         followers
@@ -223,7 +229,7 @@
         followers.len() as u32 + 1
     }
 
-    /// VMs of this hall by what they told this leader; `own` is its own strength.
+    /// VMs of this hall as reported to this leader. `own` is the score of this VM.
     pub fn vm_count(&self, now: Instant, own: LeaderScore) -> HallVms {
         let vms = self.live_vms(now);
         let followers = self.followers.borrow();
@@ -231,13 +237,13 @@
         HallVms { vms, fit: fit + u32::from(own > 0.0) }
     }
 
-    /// The leader told how many VMs of the hall there are.
-    pub fn on_hall_vms(&self, told: HallVms) {
-        self.reported_vms.set(told);
+    /// Records the size of the hall as reported by the leader.
+    pub fn on_hall_vms(&self, reported: HallVms) {
+        self.reported_vms.set(reported);
     }
 
-    /// Whether enough other VMs of the hall are fit, by what is known of them. One that the leader does not
-    /// know to be unfit yet may count itself, so one is left out.
+    /// Whether enough other VMs of the hall are known to be fit. One is left out, as a VM that the
+    /// leader does not know to be unfit yet may count itself.
     pub fn others_suffice(&self, now: Instant) -> bool {
         let known = match self.acting_fence.get() {
             Some(_) => {
@@ -250,8 +256,8 @@
         others_suffice(known.fit.saturating_sub(1), known.vms)
     }
 
-    /// The strongest VM that asked just now and is at least as strong as wanted, and where it is asked. Of those
-    /// that are alike one is drawn.
+    /// The recent follower with the highest leader score of at least `least`, and its address.
+    /// Among equals one is drawn at random.
     pub fn best_follower(&self, now: Instant, least: LeaderScore) -> Option<(VmId, SocketAddr)> {
         let followers = self.followers.borrow();
         let is_here =
@@ -265,30 +271,30 @@
         Some((strongest.2.clone(), strongest.3))
     }
 
-    /// The VM of this hall whose configuration was confirmed last, if that was after `since`.
+    /// The follower whose configuration was confirmed last, if that was after `since`.
     pub fn freshest_follower(&self, now: Instant, since: Instant) -> Option<SocketAddr> {
         let followers = self.followers.borrow();
         let is_here =
             |follower: &&Follower| now.saturating_duration_since(follower.at) < LEADER_TIMEOUT;
-        let informed =
+        let fresher =
             followers.values().filter(is_here).filter(|follower| follower.confirmed > Some(since));
-        informed
+        fresher
             .max_by_key(|follower| (follower.confirmed, follower.peer))
             .map(|follower| follower.peer)
     }
 
-    /// The leader asked this VM for what it knows, as it has lost the store.
+    /// The leader lost the store and asked this VM for what it knows.
     pub fn on_source_request(&self, now: Instant) {
         self.source_requested_at.set(Some(now));
     }
 
-    /// Whether the leader has lately asked this VM for what it knows, and so relies on it.
+    /// Whether the leader recently used this VM as its source and thus relies on it.
     pub fn is_source(&self, now: Instant) -> bool {
         let is_late = |at: Instant| now.saturating_duration_since(at) < LEADER_TIMEOUT;
         self.source_requested_at.get().is_some_and(is_late)
     }
 
-    /// The leader named another that leads now; `own` is where this VM is asked.
+    /// The previous leader named the VM that leads now. `own` is the address of this VM.
     pub fn on_redirect(&self, leader: SocketAddr, own: SocketAddr) {
         if leader == own {
             self.is_nominated.set(true);
@@ -299,72 +305,72 @@
         self.leader.set(Some(leader));
     }
 
-    /// The VM that was named does not lead.
+    /// The VM named by the redirect does not lead.
     pub fn on_redirect_failed(&self) {
         self.redirect.set(None);
     }
 
-    /// Where the leader is asked by the word of the one before.
+    /// Address of the leader named by the previous one.
     pub fn redirect(&self) -> Option<SocketAddr> {
         self.redirect.get()
     }
 
-    /// Whether the leader before handed its lease to this VM, since this was last asked.
+    /// Whether the previous leader handed its lease to this VM since the last call.
     pub fn take_nomination(&self) -> bool {
         self.is_nominated.take()
     }
 
-    /// Wakes the VMs that wait for news: this VM leads no more, or told of a board.
+    /// Wakes the followers that wait for updates: this VM published a report or no longer leads.
     pub fn wake_followers(&self) {
-        self.wakes.set(self.wakes.get() + 1);
-        for waker in self.waiting.take() {
+        self.wake_count.set(self.wake_count.get() + 1);
+        for waker in self.wakers.take() {
             waker.wake();
         }
     }
 
-    /// The most VMs that this hall was known to have at a time.
+    /// Largest known number of VMs of this hall at a time.
     pub fn max_hall_vms(&self) -> u32 {
         self.max_hall_vms.get()
     }
 
-    /// How many times longer than alone a VM of this hall pauses between calls that many VMs make for
-    /// the same reason.
+    /// Factor on the pause between calls that all VMs of this hall make for the same reason.
     pub fn hall_size_factor(&self) -> u32 {
-        (self.max_hall_vms.get() / FEW_VMS).max(1)
+        (self.max_hall_vms.get() / SMALL_HALL_VMS).max(1)
     }
 
-    /// The longest pause between this VM's calls to a store that does not answer. The VM that tells the
-    /// others calls most often: all of them wait for it. One whose leader can be asked need not be the first to
-    /// hear of the store's return; but where the leader alone stays cut from it, nobody else looks, and a new
-    /// configuration must be in force in time.
+    /// Longest pause between this VM's calls to a store that does not answer. The VM that acts as
+    /// leader pauses least, as all others wait for it. A follower need not notice the return of the
+    /// store first; but if only its leader stays cut off from the store, no other VM checks, and a
+    /// new configuration must still be in force in time.
     pub fn max_retry_pause(&self, now: Instant, freshness: Freshness) -> Duration {
-        let alone = (PAUSE_MAX * self.hall_size_factor()).min(PAUSE_MAX_ALONE);
+        let leaderless =
+            (MAX_RETRY_PAUSE * self.hall_size_factor()).min(MAX_LEADERLESS_RETRY_PAUSE);
         match self.acting_fence.get() {
-            Some(_) => PAUSE_MAX,
-            None if self.leader_is_live(now) => freshness.max_staleness.max(alone),
-            None => alone,
+            Some(_) => MAX_RETRY_PAUSE,
+            None if self.leader_is_live(now) => freshness.max_staleness.max(leaderless),
+            None => leaderless,
         }
     }
 
-    /// Notes how many VMs a leader of this hall tells of.
+    /// Records the number of VMs that a leader of this hall reported.
     pub fn record_hall_vms(&self, vms: u32) {
         self.max_hall_vms.set(self.max_hall_vms.get().max(vms));
     }
 
-    /// Keeps what this VM found out about its own hall, and tells those that wait for it.
+    /// Stores this VM's report on its own hall and wakes the followers.
     pub fn publish_report(&self, now: Instant, report: HallReport) {
         self.reports.insert(now, report);
         self.wake_followers();
     }
 
-    /// Waits until this VM posts a board or leads no more.
+    /// Waits until this VM publishes a report or no longer leads.
     pub async fn report_published(&self) {
-        let seen = self.wakes.get();
+        let seen = self.wake_count.get();
         std::future::poll_fn(|context| {
-            if self.wakes.get() != seen {
+            if self.wake_count.get() != seen {
                 return Poll::Ready(());
             }
-            wait_in(&mut self.waiting.borrow_mut(), context.waker());
+            register_waker(&mut self.wakers.borrow_mut(), context.waker());
             Poll::Pending
         })
         .await;
--- a/crates/sillbank_gateway/src/hall_reports.rs
+++ b/crates/sillbank_gateway/src/hall_reports.rs
@@ -1,4 +1,4 @@
-//! What the leaders of halls tell of their engines, and of what the halls are asked for.
+//! Reports of all halls, as published by their leaders: the state of engines and the demand.
 
 use crate::feed::{EngineState, HallRates, HallReport};
 use sillbank_core::prelude::*;
@@ -10,40 +10,40 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a board is believed. Leaders ask engines every 700 ms.
-const BOARD_LIVE: Duration = Duration::from_millis(2_000);
+/// How long a report is used. Leaders poll engines every 700 ms.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// What a board tells of one engine.
+/// State of one engine in a hall report.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportedEngine<'a> {
     /// The engine.
     pub state: &'a EngineState,
-    /// When it was asked.
+    /// When it was polled.
     pub as_of: Instant,
     /// VMs of its hall.
     pub vms: u32,
 }
 
-/// A board and when it held.
+/// A report and the time at which it was valid.
 #[derive(Debug, Clone)]
-struct KeptBoard {
+struct StoredReport {
     as_of: Instant,
     vms: u32,
     leader: SocketAddr,
-    engines: BTreeMap<EndpointId, KeptEngine>,
-    demand: Option<KeptDemand>,
+    engines: BTreeMap<EndpointId, StoredEngine>,
+    demand: Option<StoredDemand>,
 }
 
-/// What a hall is asked for, by its last board that told it.
+/// Demand on a hall, from its latest report that contained it.
 #[derive(Debug, Clone)]
-struct KeptDemand {
+struct StoredDemand {
     as_of: Instant,
     rates: Vec<DemandRate>,
-    /// Number of the board that told it.
+    /// Number of that report.
     number: u64,
 }
 
-/// What a hall is asked for of one service.
+/// Demand on a hall for one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HallDemand {
     /// Hall.
@@ -58,173 +58,174 @@
 
 /// An engine as it is passed on.
 #[derive(Debug, Clone)]
-struct KeptEngine {
+struct StoredEngine {
     state: EngineState,
-    /// Rises with each state that this VM keeps.
+    /// Number of the report that changed it.
     number: u64,
 }
 
-/// Boards of all halls.
+/// Latest reports of all halls.
 #[derive(Debug, Default)]
 pub struct HallReports {
-    by_hall: RefCell<HashMap<HallId, KeptBoard>>,
-    /// Number of the newest that was kept.
-    newest: Cell<u64>,
-    most_vms: Cell<u32>,
+    by_hall: RefCell<HashMap<HallId, StoredReport>>,
+    /// Number of the latest report inserted.
+    newest_number: Cell<u64>,
+    max_vms: Cell<u32>,
 }
 
 impl HallReports {
-    /// Keeps a board unless a newer one is known.
+    /// Inserts a report unless a newer one is known.
     pub fn insert(&self, now: Instant, report: HallReport) {
         let Some(as_of) = now.checked_sub(Duration::from_millis(report.age_ms)) else {
             return;
         };
         let mut reports = self.by_hall.borrow_mut();
         let HallReport { hall, vms, leader, is_complete, engines, demand, .. } = report;
-        let new = || KeptBoard { as_of, vms, leader, engines: BTreeMap::new(), demand: None };
+        let new = || StoredReport { as_of, vms, leader, engines: BTreeMap::new(), demand: None };
         let is_known = reports.contains_key(&hall);
-        let kept = reports.entry(hall).or_insert_with(new);
-        if is_known && kept.as_of >= as_of {
+        let stored = reports.entry(hall).or_insert_with(new);
+        if is_known && stored.as_of >= as_of {
             return;
         }
-        (kept.as_of, kept.vms, kept.leader) = (as_of, vms, leader);
-        let number = self.newest.get() + 1;
-        self.newest.set(number);
+        (stored.as_of, stored.vms, stored.leader) = (as_of, vms, leader);
+        let number = self.newest_number.get() + 1;
+        self.newest_number.set(number);
         if let Some(demand) = demand {
-            kept.keep_demand(now, demand, number);
+            stored.store_demand(now, demand, number);
         }
         if is_complete {
-            let told: BTreeSet<&EndpointId> = engines.iter().map(|engine| &engine.id).collect();
-            kept.engines.retain(|id, _| told.contains(id));
+            let reported: BTreeSet<&EndpointId> = engines.iter().map(|engine| &engine.id).collect();
+            stored.engines.retain(|id, _| reported.contains(id));
         }
         for state in engines {
-            let known = kept.engines.get(&state.id);
+            let known = stored.engines.get(&state.id);
             let known_life = known.and_then(|known| known.state.born_ms);
             if compare_lives(state.born_ms, known_life) == LifeOrder::Older {
                 continue;
             }
-            if known.is_none_or(|known| !known.state.is_about(&state)) {
-                kept.engines.insert(state.id.clone(), KeptEngine { state, number });
+            if known.is_none_or(|known| !known.state.is_similar(&state)) {
+                stored.engines.insert(state.id.clone(), StoredEngine { state, number });
             }
         }
     }
 
-    /// The boards that are believed, with the engines that are newer than a number and their ages of now,
-    /// and the number of the newest.
+    /// The live reports with their current ages and the engines changed after report `number`, and
+    /// the number of the latest report.
     pub fn since(&self, number: u64, now: Instant) -> (u64, Vec<HallReport>) {
         let reports = self.by_hall.borrow();
-        let live = reports.iter().filter(|(_, kept)| is_believed(kept, now));
-        let news = live.map(|(hall, kept)| {
-            let new = kept.engines.values().filter(|engine| engine.number > number);
+        let live = reports.iter().filter(|(_, stored)| is_live(stored, now));
+        let updates = live.map(|(hall, stored)| {
+            let new = stored.engines.values().filter(|engine| engine.number > number);
             HallReport {
                 hall: hall.clone(),
-                age_ms: now.saturating_duration_since(kept.as_of).as_millis() as u64,
-                vms: kept.vms,
-                leader: kept.leader,
+                age_ms: now.saturating_duration_since(stored.as_of).as_millis() as u64,
+                vms: stored.vms,
+                leader: stored.leader,
                 is_complete: number == 0,
                 engines: new.map(|engine| engine.state.clone()).collect(),
-                demand: kept.new_demand(number, now),
+                demand: stored.demand_newer_than(number, now),
             }
         });
-        (self.newest.get(), news.collect())
+        (self.newest_number.get(), updates.collect())
     }
 
-    /// What a board tells of an engine of a hall, if it is believed.
+    /// Reads the state of an engine of a hall, if the hall's report is live.
     pub fn engine<T>(
         &self,
         hall: &str,
         id: &str,
         now: Instant,
-        look: impl FnOnce(ReportedEngine<'_>) -> T,
+        read: impl FnOnce(ReportedEngine<'_>) -> T,
     ) -> Option<T> {
         let reports = self.by_hall.borrow();
-        let kept = reports.get(hall).filter(|kept| is_believed(kept, now))?;
-        let engine = kept.engines.get(id)?;
-        Some(look(ReportedEngine { state: &engine.state, as_of: kept.as_of, vms: kept.vms }))
+        let stored = reports.get(hall).filter(|stored| is_live(stored, now))?;
+        let engine = stored.engines.get(id)?;
+        Some(read(ReportedEngine { state: &engine.state, as_of: stored.as_of, vms: stored.vms }))
     }
 
-    /// What each hall is asked for of a service, as far as that is believed.
+    /// Demand on each hall for a service, as far as it is recent.
     pub fn demand(&self, service: &str, now: Instant) -> Vec<HallDemand> {
         let reports = self.by_hall.borrow();
-        let of_service = |(hall, kept): (&HallId, &KeptBoard)| {
-            let demand = kept.believed_demand(now)?;
+        let of_service = |(hall, stored): (&HallId, &StoredReport)| {
+            let demand = stored.recent_demand(now)?;
             let rates = demand.rates.iter().filter(|rate| rate.service == service);
             Some(HallDemand {
                 hall: hall.clone(),
                 age: now.saturating_duration_since(demand.as_of),
-                vms: kept.vms,
+                vms: stored.vms,
                 rates: rates.cloned().collect(),
             })
         };
         reports.iter().filter_map(of_service).collect()
     }
 
-    /// Where the leader of a hall is asked, by its board, if that is believed.
+    /// Address of a hall's leader, if its report is live.
     pub fn leader(&self, hall: &str, now: Instant) -> Option<SocketAddr> {
         let reports = self.by_hall.borrow();
-        reports.get(hall).filter(|kept| is_believed(kept, now)).map(|kept| kept.leader)
+        reports.get(hall).filter(|stored| is_live(stored, now)).map(|stored| stored.leader)
     }
 
-    /// The most VMs that the leaders of all `halls` have told of at a time; `None` if they have not.
-    /// Some may be missing in what is told now, but they go on serving.
+    /// The largest number of VMs that the leaders of all `halls` have reported at a time; `None` if
+    /// they have not. VMs missing in the current reports may still be serving.
     pub fn fleet_vms(&self, halls: &BTreeSet<HallId>, now: Instant) -> Option<u32> {
         let reports = self.by_hall.borrow();
-        let live = |hall: &HallId| reports.get(hall).filter(|kept| is_believed(kept, now));
+        let live = |hall: &HallId| reports.get(hall).filter(|stored| is_live(stored, now));
         if !halls.is_empty() && halls.iter().all(|hall| live(hall).is_some()) {
-            let vms: u32 = halls.iter().filter_map(live).map(|kept| kept.vms).sum();
-            self.most_vms.set(self.most_vms.get().max(vms));
+            let vms: u32 = halls.iter().filter_map(live).map(|stored| stored.vms).sum();
+            self.max_vms.set(self.max_vms.get().max(vms));
         }
-        (self.most_vms.get() > 0).then_some(self.most_vms.get())
+        (self.max_vms.get() > 0).then_some(self.max_vms.get())
     }
 
-    /// The most VMs of the fleet that leaders have told of at a time; 0 if they have not.
+    /// The largest number of VMs in the fleet that leaders have reported at a time; 0 if they have
+    /// not.
     pub fn max_fleet_vms(&self) -> u32 {
-        self.most_vms.get()
+        self.max_vms.get()
     }
 
-    /// Forgets what was told of the lives of an engine before its newest one.
+    /// Drops states of earlier incarnations of an engine.
     pub fn on_restart(&self, id: &str, newest_life: Option<BornMs>) {
         let is_older = |state: &EngineState| {
             state.id == id && compare_lives(state.born_ms, newest_life) == LifeOrder::Older
         };
-        for kept in self.by_hall.borrow_mut().values_mut() {
-            kept.engines.retain(|_, engine| !is_older(&engine.state));
+        for stored in self.by_hall.borrow_mut().values_mut() {
+            stored.engines.retain(|_, engine| !is_older(&engine.state));
         }
     }
 
-    /// Forgets engines that are not listed any more.
+    /// Drops engines that are no longer listed.
     pub fn retain(&self, is_known: impl Fn(&str) -> bool) {
-        for kept in self.by_hall.borrow_mut().values_mut() {
-            kept.engines.retain(|id, _| is_known(id));
+        for stored in self.by_hall.borrow_mut().values_mut() {
+            stored.engines.retain(|id, _| is_known(id));
         }
     }
 }
 
-impl KeptBoard {
-    /// Keeps what a board tells of demand, unless newer is known.
-    fn keep_demand(&mut self, now: Instant, demand: HallRates, number: u64) {
+impl StoredReport {
+    /// Stores the demand in a report unless newer demand is known.
+    fn store_demand(&mut self, now: Instant, demand: HallRates, number: u64) {
         let Some(as_of) = now.checked_sub(Duration::from_millis(demand.age_ms)) else {
             return;
         };
-        if self.demand.as_ref().is_none_or(|kept| kept.as_of < as_of) {
+        if self.demand.as_ref().is_none_or(|stored| stored.as_of < as_of) {
             let rates = demand.rates.into_iter().take(MAX_SERVICES * MAX_RANKS).collect();
-            self.demand = Some(KeptDemand { as_of, rates, number });
+            self.demand = Some(StoredDemand { as_of, rates, number });
         }
     }
 
-    /// What is believed of demand, if the asking VM has not been told.
-    fn new_demand(&self, told: u64, now: Instant) -> Option<HallRates> {
-        let demand = self.believed_demand(now).filter(|demand| demand.number > told)?;
+    /// Recent demand, unless the follower has received it already.
+    fn demand_newer_than(&self, reported: u64, now: Instant) -> Option<HallRates> {
+        let demand = self.recent_demand(now).filter(|demand| demand.number > reported)?;
         let age_ms = now.saturating_duration_since(demand.as_of).as_millis() as u64;
         Some(HallRates { age_ms, rates: demand.rates.clone() })
     }
 
-    fn believed_demand(&self, now: Instant) -> Option<&KeptDemand> {
-        let age = |demand: &&KeptDemand| now.saturating_duration_since(demand.as_of);
+    fn recent_demand(&self, now: Instant) -> Option<&StoredDemand> {
+        let age = |demand: &&StoredDemand| now.saturating_duration_since(demand.as_of);
         self.demand.as_ref().filter(|demand| age(demand) < BELIEVED)
     }
 }
 
-fn is_believed(kept: &KeptBoard, now: Instant) -> bool {
-    now.saturating_duration_since(kept.as_of) < BOARD_LIVE
+fn is_live(stored: &StoredReport, now: Instant) -> bool {
+    now.saturating_duration_since(stored.as_of) < REPORT_TIMEOUT
 }
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -190,10 +190,10 @@
 pub fn path_ask<'a>(
     job: &'a Job,
     figures: &'a EngineFigures,
-    home: &'a str,
+    local_hall: &'a str,
     avoid: &'a [EndpointId],
 ) -> PathRequest<'a> {
-    PathRequest { service: &job.service, figures, home, avoid, demand: job.demand(figures) }
+    PathRequest { service: &job.service, figures, local_hall, avoid, demand: job.demand(figures) }
 }
 
 /// What a request takes of the engines on its path.
--- a/crates/sillbank_gateway/src/lib.rs
+++ b/crates/sillbank_gateway/src/lib.rs
@@ -1,26 +1,31 @@
-//! The gateway: takes callers' requests on every VM and relays them to endpoints.
+//! The gateway: accepts callers' requests on every VM and forwards them to endpoints.
 //!
-//! All that is decided here is decided in the project's own words. What a platform calls things is
-//! translated by an adapter that implements [`wire::Wire`] and [`store::MetadataStore`].
+//! Decisions are made in the terms of this project. An adapter for a platform implements
+//! [`wire::Wire`] and [`store::MetadataStore`].
 //!
-//! - [`callers`] admits a request; [`calls`] and [`streams`] carry it out; [`call_tracker`] keeps how long calls took.
-//! - [`platform`] holds what is believed of the platform, [`follow`] keeps it up to date.
-//! - [`lives`] ends what is kept of endpoints that start again, [`unreadable`] tells of entries that name none.
-//! - [`endpoints`] holds what was seen of endpoints, [`doctor`] asks them; [`paths`] chooses among
+//! - [`callers`] admits requests; [`calls`] and [`streams`] handle them; [`call_tracker`] tracks
+//!   the answer times of calls.
+//! - [`platform_view`] holds this VM's view of the platform, [`follow`] keeps it up to date.
+//! - [`restarts`] discards what is kept of endpoints that restart, [`unreadable`] logs entries of
+//!   endpoints that cannot be parsed.
+//! - [`endpoints`] tracks the health of endpoints, [`doctor`] probes them; [`paths`] chooses among
 //!   engines by the model of `sillbank_engines`.
-//! - [`ends`] tells an endpoint that ended under a request from a connection that broke.
-//! - [`quarantine`] holds back requests that end their endpoints, [`quarantine_store`] keeps them in the store.
-//! - [`pushback`] keeps what endpoints ask of VMs in their answers, [`limit_parts`] divides their limits among VMs.
-//! - [`revision`] orders states of the store, also across restores from a copy.
-//! - [`repeats`] says whether a request may be sent again.
-//! - [`load`] says who is let in when not all fit.
-//! - [`feed`] passes knowledge on between VMs, [`hall`] keeps who leads, [`boards`] what leaders tell of
-//!   engines, [`freshness`] says for how long that is enough, [`sources`] who asks the store, [`backoff`] how
-//!   often while it does not answer.
-//! - [`demand`] counts what this VM is asked for, and adds up what the fleet is.
-//! - [`placement`] gives engines their layers under a lease.
-//! - [`vm_limits`] says how near the VM is to limits of its own.
-//! - [`delivery`] keeps what a caller saw of its stream; [`forecasts`] tells it beforehand and learns from it; [`decisions`] and [`metrics`] tell what was decided and how long it took.
+//! - [`ends`] distinguishes an endpoint that crashed during a request from a broken connection.
+//! - [`quarantine`] refuses requests that crash their endpoints, [`quarantine_store`] keeps them in
+//!   the store.
+//! - [`pushback`] applies the limits and pauses that endpoints ask for, [`limit_parts`] divides
+//!   limits among VMs.
+//! - [`revision`] orders states of the store, also across restores from a backup.
+//! - [`repeats`] decides whether a request may be sent again.
+//! - [`load`] sheds requests by priority when not all fit.
+//! - [`feed`] exchanges updates between VMs, [`hall`] tracks the leader and its followers,
+//!   [`hall_reports`] holds what leaders report of engines, [`freshness`] bounds how stale that may
+//!   be, [`sources`] decides who asks the store, [`backoff`] how often while it does not answer.
+//! - [`demand`] measures the demand on this VM, its hall and the fleet.
+//! - [`placement`] assigns layers to engines under a lease.
+//! - [`vm_limits`] measures how near the VM is to its own limits.
+//! - [`delivery`] records what a caller saw of its stream; [`forecasts`] predicts it and learns
+//!   from it; [`decisions`] and [`metrics`] report what was decided and how long it took.
 
 #![forbid(unsafe_code)]
 
@@ -73,7 +78,7 @@
 pub mod vm_limits;
 pub mod wire;
 
-/// The few types most users need.
+/// The types that most users need.
 pub mod prelude {
     pub use crate::gateway::Gateway;
     pub use crate::plugins::run;
--- a/crates/sillbank_gateway/src/limit_parts.rs
+++ b/crates/sillbank_gateway/src/limit_parts.rs
@@ -1,7 +1,8 @@
-//! Divides the limits of endpoints among VMs.
+//! Divides the rate limits of endpoints among VMs.
 //!
-//! The leader of an endpoint's hall divides its limit among the VMs of that hall and the leaders of others; these divide
-//! their part among their VMs. Who wants to send says so with its asks, and gets its part with the answer.
+//! The leader of an endpoint's hall divides its limit among the VMs of that hall and the leaders of
+//! other halls, which divide their part among their VMs. A VM that wants to send states its rate in
+//! its feed requests, and gets its part with the reply.
 
 use crate::feed::FeedRequest;
 use crate::gateway::Gateway;
@@ -13,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What a VM divides while it leads.
+/// Rate limits that this VM divides while it leads.
 #[derive(Debug, Default)]
 pub struct LimitParts {
     divider: RefCell<Divider>,
@@ -21,7 +22,7 @@
     of_hall: RefCell<BTreeMap<EndpointId, Part>>,
 }
 
-/// Whom an ask for parts goes to.
+/// Who hands out parts in reply to a feed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PartsFrom {
     /// The leader of this VM's hall.
@@ -31,8 +32,8 @@
 }
 
 impl<W: Wire, S> Gateway<W, S> {
-    /// Begins to divide when this VM begins to tell its hall, and ends with that.
-    pub fn keep_divider(&self, now: Instant) {
+    /// Starts to divide limits when this VM begins to act as leader, and stops with that.
+    pub fn update_divider(&self, now: Instant) {
         let mut divider = self.limit_parts.divider.borrow_mut();
         if self.hall.acting_fence.get().is_none() {
             divider.end();
@@ -50,7 +51,7 @@
         self.platform.endpoints(|directory| Some(directory.get(endpoint)?.hall.clone()))
     }
 
-    /// What this VM has to divide of an endpoint's limit while it leads.
+    /// What this VM may divide of an endpoint's limit while it leads.
     fn total(&self, endpoint: &str, now: Instant) -> Option<Part> {
         let limit_per_s = self.pushback.borrow().limit_per_s(endpoint)?;
         if self.hall_of(endpoint)? == self.settings.borrow().hall {
@@ -60,74 +61,74 @@
         of_hall.filter(|part| now < part.until)
     }
 
-    /// Who asks; `None` if it asks for what another leader divides.
-    fn asker(&self, ask: &FeedRequest, endpoint: &str) -> Option<Asker> {
+    /// Who requests a part; `None` if another leader divides that limit.
+    fn requester(&self, request: &FeedRequest, endpoint: &str) -> Option<Asker> {
         let own = self.settings.borrow().hall.clone();
-        if ask.hall == own {
-            return Some(Asker::Vm(ask.vm.clone()));
+        if request.hall == own {
+            return Some(Asker::Vm(request.vm.clone()));
         }
-        (self.hall_of(endpoint)? == own).then(|| Asker::Hall(ask.hall.clone()))
+        (self.hall_of(endpoint)? == own).then(|| Asker::Hall(request.hall.clone()))
     }
 
-    /// Whether an ask wants a part that it can be given and has not been given yet.
-    pub fn owes_part(&self, ask: &FeedRequest, now: Instant) -> bool {
+    /// Whether a feed request wants a part that is available and has not been handed out yet.
+    pub fn owes_part(&self, request: &FeedRequest, now: Instant) -> bool {
         let divider = self.limit_parts.divider.borrow();
         divider.divides(now)
-            && ask.wants.iter().any(|want| {
-                let asker = self.asker(ask, &want.endpoint);
-                let is_given = |asker| divider.has_given(&want.endpoint, &asker, now);
+            && request.wants.iter().any(|want| {
+                let requester = self.requester(request, &want.endpoint);
+                let is_given = |requester| divider.has_given(&want.endpoint, &requester, now);
                 self.total(&want.endpoint, now).is_some()
-                    && asker.is_some_and(|asker| !is_given(asker))
+                    && requester.is_some_and(|requester| !is_given(requester))
             })
     }
 
-    /// Notes what an ask wants, and answers the parts that it gets.
-    pub fn give_parts(&self, ask: &FeedRequest, now: Instant) -> Vec<PartNews> {
+    /// Records the rates that a feed request wants, and returns the parts that it gets.
+    pub fn give_parts(&self, request: &FeedRequest, now: Instant) -> Vec<PartNews> {
         if self.hall.acting_fence.get().is_none() {
             return Vec::new();
         }
         let give = |want: &Want| {
-            let asker = self.asker(ask, &want.endpoint)?;
-            let part = self.divide(&want.endpoint, &asker, want.per_s, now)?;
+            let requester = self.requester(request, &want.endpoint)?;
+            let part = self.divide(&want.endpoint, &requester, want.per_s, now)?;
             let valid_ms = part.until.saturating_duration_since(now).as_millis() as u64;
             Some(PartNews { endpoint: want.endpoint.clone(), per_s: part.per_s, valid_ms })
         };
-        ask.wants.iter().filter_map(give).collect()
+        request.wants.iter().filter_map(give).collect()
     }
 
     fn divide(
         &self,
         endpoint: &str,
-        asker: &Asker,
+        requester: &Asker,
         wanted_per_s: f64,
         now: Instant,
     ) -> Option<Part> {
         let total = self.total(endpoint, now);
         let mut divider = self.limit_parts.divider.borrow_mut();
         match total {
-            Some(total) => divider.divide(endpoint, asker, wanted_per_s, total, now),
+            Some(total) => divider.divide(endpoint, requester, wanted_per_s, total, now),
             None => {
-                divider.note_want(endpoint, asker, wanted_per_s, now);
+                divider.note_want(endpoint, requester, wanted_per_s, now);
                 None
             }
         }
     }
 
-    /// While this VM leads it takes its own parts as it gives others theirs.
+    /// While this VM leads, it takes its own parts like those of others.
     pub(crate) fn take_own_parts(&self, now: Instant) {
         if self.hall.acting_fence.get().is_none() {
             return;
         }
-        let asker = Asker::Vm(self.settings.borrow().vm.clone());
+        let requester = Asker::Vm(self.settings.borrow().vm.clone());
         let wants = self.pushback.borrow().wants(now);
         for want in wants {
-            if let Some(part) = self.divide(&want.endpoint, &asker, want.per_s, now) {
+            if let Some(part) = self.divide(&want.endpoint, &requester, want.per_s, now) {
                 self.pushback.borrow_mut().take_part(&want.endpoint, part);
             }
         }
     }
 
-    /// What an ask says that this VM, or as a leader its hall, would send.
+    /// The rates that this VM, or as a leader its hall, would send.
     pub(crate) fn wants_of(&self, from: &PartsFrom, now: Instant) -> Vec<Want> {
         let pushback = self.pushback.borrow();
         match from {
@@ -135,39 +136,39 @@
             PartsFrom::OwnLeader => pushback.wants(now),
             PartsFrom::Hall(hall) => {
                 let divider = self.limit_parts.divider.borrow();
-                let in_hall = pushback.limited_endpoints();
-                let in_hall = in_hall.filter(|id| self.hall_of(id).as_ref() == Some(hall));
-                let wants = in_hall
+                let limited = pushback.limited_endpoints();
+                let limited = limited.filter(|id| self.hall_of(id).as_ref() == Some(hall));
+                let wants = limited
                     .map(|id| Want { endpoint: id.clone(), per_s: divider.wanted_per_s(id, now) });
                 wants.filter(|want| want.per_s > 0.0).collect()
             }
         }
     }
 
-    /// Takes the parts that a leader gave with an answer that was made at `given_at` or later.
-    pub fn take_parts(&self, parts: &[PartNews], from: &PartsFrom, given_at: Instant) {
+    /// Applies the parts in a reply of a leader that was created at `given_at` or later.
+    pub fn apply_parts(&self, parts: &[PartNews], from: &PartsFrom, given_at: Instant) {
         if parts.is_empty() || self.platform.was_suspended_since(given_at) {
             return;
         }
-        for news in parts {
-            let valid = Duration::from_millis(news.valid_ms).min(PART_TERM);
-            if !(news.per_s.is_finite() && news.per_s >= 0.0) {
-                let (endpoint, per_s) = (&news.endpoint, news.per_s);
+        for update in parts {
+            let valid = Duration::from_millis(update.valid_ms).min(PART_TERM);
+            if !(update.per_s.is_finite() && update.per_s >= 0.0) {
+                let (endpoint, per_s) = (&update.endpoint, update.per_s);
                 tracing::warn!(
                     endpoint,
                     per_s,
-                    "pushback: A part of a limit is no rate; it is left."
+                    "pushback: A part of a rate limit is invalid and was ignored."
                 );
                 continue;
             }
             let Some(until) = given_at.checked_add(valid) else { continue };
-            let part = Part { per_s: news.per_s, until };
+            let part = Part { per_s: update.per_s, until };
             match from {
                 PartsFrom::OwnLeader => {
-                    self.pushback.borrow_mut().take_part(&news.endpoint, part);
+                    self.pushback.borrow_mut().take_part(&update.endpoint, part);
                 }
                 PartsFrom::Hall(_) => {
-                    self.limit_parts.of_hall.borrow_mut().insert(news.endpoint.clone(), part);
+                    self.limit_parts.of_hall.borrow_mut().insert(update.endpoint.clone(), part);
                 }
             }
         }
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -1,7 +1,8 @@
-//! Under load: who is let in, by rank, from how full the fleet's engines are.
+//! Load shedding: decides by priority which requests are admitted when the fleet's engines are
+//! full.
 //!
-//! Each VM sums up what leaders tell of engines and asks the ladder of the service. Where nothing is told any
-//! more, it goes by what engines refuse to it.
+//! Each VM aggregates the engine states that leaders report and asks the service's shedder. When
+//! reports stop, it estimates the load from the requests that engines refuse to it.
 
 use crate::feed::EngineState;
 use crate::hall_reports::ReportedEngine;
@@ -19,53 +20,55 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// How often all engines are summed up. Leaders tell of engines each 250 ms at most.
+/// Interval at which the engine states are aggregated. Leaders publish them every 250 ms at most.
 const FULLNESS_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest time between two log lines of a service's ladder.
+/// Shortest time between two log lines of a service.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Routes of which the usual time is kept; configurations with more routes than are in use come and go.
+/// Routes whose usual time is tracked. Configurations may contain more routes over time than are in
+/// use.
 const MAX_ROUTES: usize = 1024;
 
-/// How long nobody must have been held back for all requests to count as first tries: callers who were refused
-/// come back within this time.
-const CALM_AFTER: Duration = Duration::from_secs(10);
+/// Time without shedding after which all requests count as first tries, as refused callers retry
+/// within it.
+const CALM_PERIOD: Duration = Duration::from_secs(10);
 
-/// A request that asks to be let in.
+/// Input of the admission decision.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
     /// Service.
     pub service: &'a Service,
-    /// Its figures.
+    /// Engine figures of the service.
     pub figures: &'a EngineFigures,
     /// Route.
     pub route: &'a Route,
-    /// How urgent the request is.
+    /// Priority of the request.
     pub urgency: Urgency,
-    /// Time that its caller has left, if it told.
+    /// Time left until the caller's deadline, if known.
     pub left: Option<Duration>,
-    /// A number that was drawn evenly from 0 to 1. The request is let in if it is below the share of its rung.
+    /// Uniform random number from 0 to 1. The request is admitted if it is below the admitted share
+    /// of its class.
     pub draw: f64,
 }
 
-/// Why a request is not let in.
+/// Why a request is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NotAdmitted {
-    /// Taken part of the engines.
+    /// Used share of the engines.
     pub fullness: f64,
     /// Whether it came too late to be answered in time.
     pub is_late: bool,
 }
 
-/// What a VM decides by for one service, as of its last request.
+/// Load of one service as estimated at its last request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadEstimate {
-    /// Taken part of the engines, from 0 to 1.
+    /// Used share of the engines, from 0 to 1.
     pub fullness: f64,
-    /// Share of all requests that is let in, from 0 to 1.
+    /// Share of all requests that is admitted, from 0 to 1.
     pub share: f64,
 }
 
-/// What a VM knows of the load on each service.
+/// Load and admission state of each service.
 #[derive(Debug, Default)]
 pub struct FleetLoad {
     services: RefCell<HashMap<ServiceId, ServiceLoad>>,
@@ -77,100 +80,100 @@
     ladder: Ladder,
     level: Level,
     refusals: RefusalShare,
-    /// Taken part of the engines, and when it was summed up.
-    summed: Option<(Instant, f64)>,
-    /// When somebody was held back last.
-    held_back: Option<Instant>,
-    /// When the log last told which rungs are held back, and the first of them.
+    /// Last aggregation: its time and the used share of the engines.
+    last_sample: Option<(Instant, f64)>,
+    /// When a request was last shed.
+    last_shed_at: Option<Instant>,
+    /// When the log last reported the shed classes, and the first of them.
     logged: Option<(Instant, Option<Rung>)>,
 }
 
 impl FleetLoad {
-    /// Decides whether a request is let in.
+    /// Decides whether a request is admitted.
     ///
     /// # Errors
-    /// What the request is not let in for.
+    /// Why the request is not admitted.
     pub fn admit(
         &self,
         context: RoutingContext<'_>,
-        ask: AdmissionRequest<'_>,
+        request: AdmissionRequest<'_>,
     ) -> Result<(), NotAdmitted> {
         let mut services = self.services.borrow_mut();
-        let load = services.entry(ask.service.name.clone()).or_default();
-        let fullness = load.fullness(context, ask);
-        let is_late = self.is_late(ask, load.is_calm(context.now));
-        let rung = Rung { is_late, urgency: ask.urgency };
+        let load = services.entry(request.service.name.clone()).or_default();
+        let fullness = load.fullness(context, request);
+        let is_late = self.is_late(request, load.is_calm(context.now));
+        let rung = Rung { is_late, urgency: request.urgency };
         load.ladder.on_asked(context.now, rung);
         let share = load.ladder.share(rung, load.level.share());
-        load.log(context.now, &ask.service.name, fullness);
-        match share >= 1.0 || ask.draw < share {
+        load.log(context.now, &request.service.name, fullness);
+        match share >= 1.0 || request.draw < share {
             true => Ok(()),
             false => Err(NotAdmitted { fullness, is_late: rung.is_late }),
         }
     }
 
-    /// What this VM decides by for a service; `None` before its first request.
+    /// Current load estimate of a service; `None` before its first request.
     pub fn estimate(&self, service: &str) -> Option<LoadEstimate> {
         let services = self.services.borrow();
         let load = services.get(service)?;
-        let (_, fullness) = load.summed?;
+        let (_, fullness) = load.last_sample?;
         Some(LoadEstimate { fullness, share: load.level.share() })
     }
 
-    /// An engine of a service took a request, or refused it for want of room.
-    pub fn on_sent(&self, service: &str, was_let_in: bool, now: Instant) {
+    /// Records that an engine of a service accepted a request, or refused it for lack of room.
+    pub fn on_sent(&self, service: &str, was_admitted: bool, now: Instant) {
         let mut services = self.services.borrow_mut();
         let Some(load) = services.get_mut(service) else {
             return;
         };
-        match was_let_in {
+        match was_admitted {
             true => load.refusals.on_let_in(now),
             false => load.refusals.on_refused(now),
         }
     }
 
-    /// Whether the caller has waited for longer than the time in which an answer is worth most.
-    fn is_late(&self, ask: AdmissionRequest<'_>, is_calm: bool) -> bool {
-        let Some(left) = ask.left else {
+    /// Whether the caller has waited beyond the time in which an answer is worth most.
+    fn is_late(&self, request: AdmissionRequest<'_>, is_calm: bool) -> bool {
+        let Some(left) = request.left else {
             return false;
         };
         let mut usual_times = self.usual_times.borrow_mut();
-        if usual_times.len() >= MAX_ROUTES && !usual_times.contains_key(&ask.route.name) {
+        if usual_times.len() >= MAX_ROUTES && !usual_times.contains_key(&request.route.name) {
             usual_times.clear();
         }
-        let usual = usual_times.entry(ask.route.name.clone()).or_default();
+        let usual = usual_times.entry(request.route.name.clone()).or_default();
         if is_calm {
             usual.on_first_try(left);
         }
-        usual.waited(left) > ask.route.objective
+        usual.waited(left) > request.route.objective
     }
 }
 
 impl ServiceLoad {
-    /// Taken part of the engines: as leaders tell, else by what engines refused to this VM.
-    fn fullness(&mut self, context: RoutingContext<'_>, ask: AdmissionRequest<'_>) -> f64 {
+    /// Used share of the engines: as leaders report it, else by what engines refused to this VM.
+    fn fullness(&mut self, context: RoutingContext<'_>, request: AdmissionRequest<'_>) -> f64 {
         let now = context.now;
-        if let Some((at, fullness)) = self.summed
+        if let Some((at, fullness)) = self.last_sample
             && now.saturating_duration_since(at) < FULLNESS_INTERVAL
         {
             return fullness;
         }
-        let told = fleet_capacity(context, ask.service, ask.figures).fullness();
-        let fullness = told.unwrap_or_else(|| self.refusals.fullness(now));
+        let reported = fleet_capacity(context, request.service, request.figures).fullness();
+        let fullness = reported.unwrap_or_else(|| self.refusals.fullness(now));
         self.level.on_fullness(now, fullness);
         if self.level.share() < 1.0 {
-            self.held_back = Some(now);
+            self.last_shed_at = Some(now);
         }
-        self.summed = Some((now, fullness));
+        self.last_sample = Some((now, fullness));
         fullness
     }
 
-    /// Whether nobody was held back for so long that all requests are first tries.
+    /// Whether nothing was shed for so long that all requests are first tries.
     fn is_calm(&self, now: Instant) -> bool {
-        self.held_back.is_none_or(|at| now.saturating_duration_since(at) >= CALM_AFTER)
+        self.last_shed_at.is_none_or(|at| now.saturating_duration_since(at) >= CALM_PERIOD)
     }
 
-    /// Tells when the first rung that is held back changed, at most once in a while.
+    /// Logs a change of the first shed class, at a limited rate.
     fn log(&mut self, now: Instant, service: &str, fullness: f64) {
         let share = self.level.share();
         let held_back = self.ladder.first_held_back(share);
@@ -179,12 +182,19 @@
         if held_back == before || now.saturating_duration_since(at) < LOG_INTERVAL {
             return;
         }
-        tracing::info!(service, fullness, share, ?held_back, ?before, "ladder: Moved.");
+        tracing::info!(
+            service,
+            fullness,
+            share,
+            ?held_back,
+            ?before,
+            "ladder: The shed priority classes changed."
+        );
         self.logged = Some((now, held_back));
     }
 }
 
-/// Room of all halls whose leaders tell of their engines.
+/// Capacity of all halls whose leaders report their engines.
 pub fn fleet_capacity(
     context: RoutingContext<'_>,
     service: &Service,
@@ -194,7 +204,7 @@
     context.platform.endpoints(|directory| {
         for record in directory.usable_of(&service.name) {
             let newest_life = directory.newest_life(&record.id);
-            if let Some(room) = engine_room(context, record, newest_life, figures) {
+            if let Some(room) = engine_capacity(context, record, newest_life, figures) {
                 by_hall.entry(record.hall.clone()).or_default().push(room);
             }
         }
@@ -203,8 +213,9 @@
     rooms.fold(HallRoom::default(), HallRoom::plus)
 }
 
-/// Room of an engine; `None` if its leader does not tell of it, or of an older life, or it cannot be used.
-fn engine_room(
+/// Capacity of an engine; `None` if its leader does not report it or reports an earlier
+/// incarnation, or if it cannot be used.
+fn engine_capacity(
     context: RoutingContext<'_>,
     record: &EndpointRecord,
     newest_life: Option<BornMs>,
@@ -214,26 +225,27 @@
         return None;
     }
     let kind = figures.accelerator(record.accelerator.as_deref()?)?;
-    let read = |news: ReportedEngine<'_>| {
-        let is_of_this_life = may_be_current(news.state.born_ms, newest_life);
-        is_of_this_life.then(|| room_of(news.state, figures, kind)).flatten()
+    let read = |engine: ReportedEngine<'_>| {
+        let is_current = may_be_current(engine.state.born_ms, newest_life);
+        is_current.then(|| capacity_of(engine.state, figures, kind)).flatten()
     };
     context.hall.reports.engine(&record.hall, &record.id, context.now, read)?
 }
 
-fn room_of(
+fn capacity_of(
     engine: &EngineState,
     figures: &EngineFigures,
     kind: &AcceleratorFigures,
 ) -> Option<EngineRoom> {
-    // Layers that the model does not have are told by an engine that is not to be believed.
+    // A report of layers that the model does not have is not trusted.
     let is_of_model = |held: &LayerRange| !held.is_empty() && held.end <= figures.layers;
     let layers = engine.layers.filter(|held| !engine.is_lost && is_of_model(held))?;
     let usual_kv = Demand::usual(figures).kv_tokens() * layers.len() as f64;
     let capacity = kv_capacity(figures, kind, layers.len())? / usual_kv.max(1.0);
     let requests = f64::from(engine.running) + f64::from(engine.waiting);
     let kv_share = f64::from(engine.kv_permille) / 1000.0;
-    // Memory as it is used now: what running requests have still to write is given back meanwhile by those that end.
-    let places_share = requests / f64::from(figures.slots.max(1));
-    Some(EngineRoom { layers, capacity, taken_share: kv_share.max(places_share) })
+    // Memory counts as used now: what running requests will still write is freed meanwhile by those
+    // that end.
+    let slots_share = requests / f64::from(figures.slots.max(1));
+    Some(EngineRoom { layers, capacity, taken_share: kv_share.max(slots_share) })
 }
--- a/crates/sillbank_gateway/src/operate.rs
+++ b/crates/sillbank_gateway/src/operate.rs
@@ -35,7 +35,7 @@
 
 impl<W: Wire, S: MetadataStore> Handler for MetricsHandler<W, S> {
     async fn handle(&self, _request: Request<Incoming>) -> Response<ReplyBody> {
-        self.gateway.show_demand(Instant::now());
+        self.gateway.update_demand_metrics(Instant::now());
         metrics_reply(self.gateway.metrics.registry())
     }
 }
