--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -1,4 +1,4 @@
-//! Chooses a path through the layers that endpoints hold.
+//! Chooses paths through the engines that together hold all layers of a model.
 
 use crate::endpoints::EndpointTracker;
 use crate::hall::Hall;
@@ -15,165 +15,173 @@
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-/// Cost of beginning a request in another hall. The way is half a millisecond; the rest keeps a
-/// hall's load at home while it has a path of its own.
+/// Cost of starting a request in another hall, in milliseconds. The network delay is only 0.5 ms;
+/// the rest keeps a hall's load local while the hall has a path of its own.
 const REQUEST_CROSSING_MS: f64 = 20.0;
-/// Cost of handing activations over to another hall. One way out and back for a whole hall's load
-/// takes 1.0 GB/s (worked out: 24 requests a second of 930 tokens, 23 KB a token), which is all that
-/// the pipe carries. At a third of this it was used too much while a hall was short of engines, and
-/// first events took 0.8 s. So a hole is bridged only when the other halls are nearly full.
+/// Cost of passing activations to another hall, in milliseconds. One crossing out and back for a
+/// whole hall's load takes 1.0 GB/s (24 requests a second of 930 tokens at 23 KB a token), which is
+/// the full capacity of the link. At a third of this cost the link was overused while a hall was
+/// short of engines, and first events took 0.8 s. At this cost, missing layers are only fetched
+/// from another hall when the other halls are nearly full.
 const ACTIVATIONS_CROSSING_MS: f64 = 120.0;
-/// Cost of one more part in a path, in milliseconds: the way there and an engine's pass.
+/// Cost of each additional part of a path: one network hop and one pass of an engine.
 const PART_COST_MS: f64 = 0.5;
-/// Requests of this VM at an engine by which its time is taken to double. Engines work in passes
-/// over all that waits, so their time grows with what they have.
+/// Requests of this VM in flight at an engine at which its predicted time doubles. Engines work in
+/// passes over all waiting requests, so their time grows with the number of requests.
 const DOUBLING_REQUESTS: f64 = 16.0;
-/// Used part of an engine's KV cache, of its places or of its time, from which it costs more: what is on its way
-/// is not in its report yet, and an engine without room refuses. At 0.65 quick engines were left a third empty while
-/// streams ran twice as long on slow ones, and losses met more of them: share of all worth earned while engines
-/// fail, on a fleet of 60 VMs, 0.638 at 0.65, 0.690 at 0.8, 0.684 at 0.88.
-const FREE_SHARE: f64 = 0.8;
-/// Cost of an engine that is full, in milliseconds of predicted time: more than going to another hall.
-const FULL_COST_MS: f64 = 250.0;
-/// Slowest pace of an engine that is believed, as a factor on its usual times.
-const MAX_PACE: f64 = 20.0;
-/// Chance's part in the cost of an engine, so that VMs do not all choose alike.
-const CHANCE: f64 = 0.06;
+/// Used share of an engine's KV cache, slots or time above which the engine costs more. Requests in
+/// transit are not in its report yet, and a full engine refuses.
+///
+/// At 0.65 fast engines were left a third empty while streams took twice as long on slow ones and
+/// were hit by more failures. Share of the total value earned while engines fail, in a fleet of 60
+/// VMs: 0.638 at 0.65, 0.690 at 0.8, 0.684 at 0.88.
+const FREE_UTILISATION: f64 = 0.8;
+/// Cost of a full engine, in milliseconds of predicted time: more than crossing to another hall.
+const FULL_ENGINE_COST_MS: f64 = 250.0;
+/// Largest accepted slowdown of an engine, as a factor on its usual times.
+const MAX_SLOWDOWN: f64 = 20.0;
+/// Random share added to the cost of an engine, so that VMs do not all choose the same one.
+const COST_JITTER: f64 = 0.06;
 
 const CROSSING: CrossingCost =
     CrossingCost { request_ms: REQUEST_CROSSING_MS, activations_ms: ACTIVATIONS_CROSSING_MS };
 
-/// Cost of handing the activations of a few requests over to another hall: the way, at each token.
-const MENDING_CROSSING_MS: f64 = 5.0;
+/// Cost of passing the activations of a few requests to another hall: the network delay at each
+/// token.
+const REPAIR_CROSSING_MS: f64 = 5.0;
 
-const MENDING: CrossingCost =
-    CrossingCost { request_ms: MENDING_CROSSING_MS, activations_ms: MENDING_CROSSING_MS };
+const REPAIR_CROSSING: CrossingCost =
+    CrossingCost { request_ms: REPAIR_CROSSING_MS, activations_ms: REPAIR_CROSSING_MS };
 
-/// Part of an engine's KV cache and of its places that new requests may fill. The rest is for requests
-/// that were begun and go on elsewhere, and for answers longer than was likely. Share of all worth that
-/// was earned at twice the load that fits: 0.57 at 0.9, 0.60 at 0.95, 0.43 at 1, where engines are
-/// overfilled and read prompts twice.
-const NEW_LIMIT_SHARE: f64 = 0.95;
-/// Longest lag of reports that is believed; a larger figure is a fault of the configuration.
+/// Share of an engine's KV cache and slots that new requests may fill. The rest is reserved for
+/// requests that resume from another engine and for answers longer than expected. Share of the
+/// total value earned at twice the load that fits: 0.57 at 0.9, 0.60 at 0.95, 0.43 at 1, where
+/// engines overflow and process prompts twice.
+const NEW_REQUEST_FILL_LIMIT: f64 = 0.95;
+/// Largest accepted lag of engine reports; a larger figure is a configuration error.
 const MAX_REPORT_LAG: Duration = Duration::from_secs(10);
 
-/// What a path is chosen for.
+/// Input of the path choice.
 #[derive(Debug, Clone, Copy)]
 pub struct PathRequest<'a> {
-    /// Service.
+    /// Service of the request.
     pub service: &'a Service,
-    /// Its figures.
+    /// Engine figures of the service.
     pub figures: &'a EngineFigures,
-    /// Hall in which the request begins.
-    pub home: &'a str,
-    /// Endpoints that are not to be used.
+    /// Hall in which the request starts.
+    pub local_hall: &'a str,
+    /// Endpoints to exclude.
     pub avoid: &'a [EndpointId],
-    /// What the request takes of each engine.
+    /// Resources that the request takes at each engine.
     pub demand: Demand,
 }
 
-/// The cheapest path on which every engine has room for the request; engines that are left alone at
-/// the moment are not used.
-pub fn choose_path(context: RoutingContext<'_>, ask: PathRequest<'_>) -> Option<LayerPath> {
-    let fits = |candidate: &Candidate| !context.mechanisms.room || candidate.fits(ask.demand);
-    choose(context, ask, |candidate| fits(candidate) && context.may_begin_at(candidate))
+/// The cheapest path on which every engine has room for the request. Ejected engines are not used.
+pub fn choose_path(context: RoutingContext<'_>, request: PathRequest<'_>) -> Option<LayerPath> {
+    let fits = |candidate: &Candidate| !context.mechanisms.room || candidate.fits(request.demand);
+    choose(context, request, |candidate| fits(candidate) && context.may_start_at(candidate))
 }
 
-/// The cheapest path, whether or not its engines have room.
-pub fn choose_any_path(context: RoutingContext<'_>, ask: PathRequest<'_>) -> Option<LayerPath> {
-    choose(context, ask, |candidate| context.may_begin_at(candidate))
+/// The cheapest path, regardless of room.
+pub fn choose_any_path(context: RoutingContext<'_>, request: PathRequest<'_>) -> Option<LayerPath> {
+    choose(context, request, |candidate| context.may_start_at(candidate))
 }
 
-/// Whether there is a path if nothing that endpoints asked of VMs is kept.
-pub fn has_path_despite_pushback(context: RoutingContext<'_>, ask: PathRequest<'_>) -> bool {
-    choose(context, ask, |_| true).is_some()
+/// Whether there would be a path if rate limits and pauses asked for by endpoints were ignored.
+pub fn has_path_despite_pushback(context: RoutingContext<'_>, request: PathRequest<'_>) -> bool {
+    choose(context, request, |_| true).is_some()
 }
 
-/// Looks at home first: the work grows with the engines that are looked at, and while those at home have
-/// time to spare no path through others can cost less.
+/// Searches the local hall first: the work grows with the number of engines, and no path through
+/// other halls is cheaper while local engines have spare time.
 fn choose(
     context: RoutingContext<'_>,
-    ask: PathRequest<'_>,
+    request: PathRequest<'_>,
     fits: impl Fn(&Candidate) -> bool,
 ) -> Option<LayerPath> {
     let holders_in = |halls| {
-        let candidates = candidates(context, ask, halls).into_iter().filter(&fits);
+        let candidates = candidates(context, request, halls).into_iter().filter(&fits);
         candidates.map(|candidate| candidate.holder)
     };
-    let find = |holders: &[Holder]| find_path(holders, ask.figures.layers, ask.home, CROSSING);
-    let mut holders: Vec<Holder> = holders_in(Halls::Home).collect();
+    let find = |holders: &[Holder]| {
+        find_path(holders, request.figures.layers, request.local_hall, CROSSING)
+    };
+    let mut holders: Vec<Holder> = holders_in(HallScope::Local).collect();
     if let Some(found) = find(&holders)
-        && found.cost_ms <= least_cost_elsewhere_ms(ask.figures)
+        && found.cost_ms <= min_remote_cost_ms(request.figures)
     {
         return Some(found.path);
     }
-    holders.extend(holders_in(Halls::Others));
+    holders.extend(holders_in(HallScope::Remote));
     find(&holders).map(|found| found.path)
 }
 
-/// Halls whose engines are looked at.
+/// Halls whose engines are considered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Halls {
-    /// The one in which the request begins.
-    Home,
-    /// All but that one.
-    Others,
-    /// All.
+enum HallScope {
+    /// The hall in which the request starts.
+    Local,
+    /// All other halls.
+    Remote,
+    /// All halls.
     All,
 }
 
-impl Halls {
-    fn includes(self, hall: &str, home: &str) -> bool {
+impl HallScope {
+    fn includes(self, hall: &str, local_hall: &str) -> bool {
         match self {
-            Self::Home => hall == home,
-            Self::Others => hall != home,
+            Self::Local => hall == local_hall,
+            Self::Remote => hall != local_hall,
             Self::All => true,
         }
     }
 }
 
-/// Less than any path costs that begins in another hall or leaves this one.
-fn least_cost_elsewhere_ms(figures: &EngineFigures) -> f64 {
+/// Lower bound for the cost of any path that starts in another hall or leaves the local one.
+fn min_remote_cost_ms(figures: &EngineFigures) -> f64 {
     let factors = figures.accelerators.iter().map(|kind| kind.step_factor);
-    let quickest = factors.min_by(f64::total_cmp).unwrap_or(0.0);
-    CROSSING.request_ms.min(CROSSING.activations_ms) + figures.step_ms * quickest
+    let fastest = factors.min_by(f64::total_cmp).unwrap_or(0.0);
+    CROSSING.request_ms.min(CROSSING.activations_ms) + figures.step_ms * fastest
 }
 
-/// A path in use with its lost part run by others. Few requests need one at a time, so handing
-/// activations over to another hall costs little here.
+/// Replaces the lost part of a path in use by other engines. Few requests need this at a time, so
+/// passing activations to another hall costs little here.
 pub fn choose_repaired_path(
     context: RoutingContext<'_>,
-    ask: PathRequest<'_>,
+    request: PathRequest<'_>,
     path: &LayerPath,
     lost: &str,
 ) -> Option<LayerPath> {
-    let holders: Vec<Holder> =
-        candidates(context, ask, Halls::All).into_iter().map(|found| found.holder).collect();
-    mend_path(path, lost, &holders, ask.figures.layers, ask.home, MENDING)
+    let holders: Vec<Holder> = candidates(context, request, HallScope::All)
+        .into_iter()
+        .map(|found| found.holder)
+        .collect();
+    mend_path(path, lost, &holders, request.figures.layers, request.local_hall, REPAIR_CROSSING)
 }
 
-/// What paths are chosen from.
+/// Everything that the choice of a path depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingContext<'a> {
-    /// Endpoints as listed.
+    /// Endpoints as listed in the store.
     pub platform: &'a PlatformView,
-    /// Engines as leaders tell of them.
+    /// Engines as reported by the leaders of halls.
     pub hall: &'a Hall,
-    /// Endpoints as seen.
+    /// Endpoints as observed by this VM.
     pub endpoint_tracker: &'a EndpointTracker,
-    /// What endpoints asked of VMs.
+    /// Rate limits and pauses that endpoints asked for.
     pub pushback: &'a RefCell<PushbackBook>,
-    /// Which mechanisms are on.
+    /// Which mechanisms are enabled.
     pub mechanisms: Mechanisms,
-    /// What chance adds to costs is drawn here.
+    /// Source of the random part of costs.
     pub chance: &'a Chance,
-    /// Now.
+    /// Current time.
     pub now: Instant,
 }
 
-/// Engines at which paths can begin, also those that this request has tried, in an order that is the same at all VMs.
-pub fn first_engines(context: RoutingContext<'_>, ask: PathRequest<'_>) -> Vec<EndpointId> {
-    let all = candidates(context, PathRequest { avoid: &[], ..ask }, Halls::All)
+/// Engines at which a path can start, including those already tried, in an order that is the same
+/// on all VMs.
+pub fn first_engines(context: RoutingContext<'_>, request: PathRequest<'_>) -> Vec<EndpointId> {
+    let all = candidates(context, PathRequest { avoid: &[], ..request }, HallScope::All)
         .into_iter()
         .map(|candidate| candidate.holder);
     let firsts = all.filter(|holder| holder.layers.first == 0);
@@ -182,8 +190,9 @@
     firsts
 }
 
-/// Which first engine is risked for a request that may be what ends engines: one, the same at all VMs, so that the others
-/// go on; none if there is only one, or all were tried.
+/// The first engine for a request that may be the cause of engine failures. It is the same on all
+/// VMs, so that the other engines keep running. `None` if there is only one first engine or all
+/// were tried.
 pub fn isolation_engine<'a>(
     firsts: &'a [EndpointId],
     tried: &[EndpointId],
@@ -192,27 +201,27 @@
     firsts.iter().find(|first| !is_only_one && !tried.contains(first))
 }
 
-/// VMs that are taken to share what an endpoint takes while leaders have not told of them.
-const ASSUMED_VMS: u32 = 16;
-/// Shares that are left to VMs of which leaders have not told yet.
-const SPARE_SHARES: u32 = 1;
+/// VMs that are assumed to share an endpoint's limit until leaders have reported a number.
+const DEFAULT_FLEET_VMS: u32 = 16;
+/// Shares reserved for VMs that leaders have not reported yet.
+const RESERVED_SHARES: u32 = 1;
 
 impl RoutingContext<'_> {
-    /// Whether what an endpoint asked of VMs lets a request be sent to it.
+    /// Whether an endpoint's rate limit and pauses allow sending a request to it now.
     pub fn may_send(&self, endpoint: &str) -> bool {
         let mut pushback = self.pushback.borrow_mut();
         if !self.mechanisms.pushback || pushback.is_empty() {
             return true;
         }
         let vms = match self.hall.reports.max_fleet_vms() {
-            0 => ASSUMED_VMS,
-            told => told,
+            0 => DEFAULT_FLEET_VMS,
+            reported => reported,
         };
-        pushback.may_send(endpoint, vms + SPARE_SHARES, self.now)
+        pushback.may_send(endpoint, vms + RESERVED_SHARES, self.now)
     }
 
-    /// The same for an engine as the first of a path: the others are not sent the request.
-    fn may_begin_at(&self, candidate: &Candidate) -> bool {
+    /// The same check for an engine of a path. Only the first engine receives the request itself.
+    fn may_start_at(&self, candidate: &Candidate) -> bool {
         candidate.holder.layers.first != 0 || self.may_send(&candidate.holder.endpoint)
     }
 }
@@ -221,73 +230,81 @@
 struct Candidate {
     /// Its layers and costs.
     holder: Holder,
-    /// Its KV cache; `None` if the service's figures do not tell it.
+    /// Its KV cache; `None` if the service's figures do not give its size.
     room: Option<KvRoom>,
-    /// Taken part of its places, where paths begin; else 0.
-    places_share: f64,
+    /// Used share of its slots if paths can start here, else 0.
+    slots_share: f64,
 }
 
 impl Candidate {
     fn fits(&self, demand: Demand) -> bool {
         let more = demand.kv_tokens() * self.holder.layers.len() as f64;
-        let has_kv = self.room.is_none_or(|room| room.fits(more, NEW_LIMIT_SHARE));
-        has_kv && self.places_share < NEW_LIMIT_SHARE
+        let has_kv = self.room.is_none_or(|room| room.fits(more, NEW_REQUEST_FILL_LIMIT));
+        has_kv && self.slots_share < NEW_REQUEST_FILL_LIMIT
     }
 }
 
 /// Engines that may be part of a path, with their costs.
-fn candidates(context: RoutingContext<'_>, ask: PathRequest<'_>, halls: Halls) -> Vec<Candidate> {
+fn candidates(
+    context: RoutingContext<'_>,
+    request: PathRequest<'_>,
+    halls: HallScope,
+) -> Vec<Candidate> {
     context.platform.endpoints(|directory| {
         directory
-            .usable_of(&ask.service.name)
-            .filter(|record| halls.includes(&record.hall, ask.home))
+            .usable_of(&request.service.name)
+            .filter(|record| halls.includes(&record.hall, request.local_hall))
             .filter(|record| {
-                !ask.avoid.contains(&record.id)
+                !request.avoid.contains(&record.id)
                     && context.endpoint_tracker.may_join_path(&record.id)
             })
-            .filter_map(|record| candidate(context, ask, record, directory.newest_life(&record.id)))
+            .filter_map(|record| {
+                candidate(context, request, record, directory.newest_life(&record.id))
+            })
             .collect()
     })
 }
 
-/// An engine with its costs; `None` if it holds no layers. What was told of an older life is not believed.
+/// An engine with its costs; `None` if it holds no layers. Reports from an earlier incarnation are
+/// ignored.
 fn candidate(
     context: RoutingContext<'_>,
-    ask: PathRequest<'_>,
+    request: PathRequest<'_>,
     record: &EndpointRecord,
     newest_life: Option<BornMs>,
 ) -> Option<Candidate> {
     let RoutingContext { hall, endpoint_tracker, mechanisms, chance, now, .. } = context;
-    let figures = ask.figures;
-    let read = |news: ReportedEngine<'_>| {
-        may_be_current(news.state.born_ms, newest_life).then(|| Told::new(news, figures))
+    let figures = request.figures;
+    let read = |reported: ReportedEngine<'_>| {
+        may_be_current(reported.state.born_ms, newest_life)
+            .then(|| ReportedLoad::new(reported, figures))
     };
-    let told = hall.reports.engine(&record.hall, &record.id, now, read).flatten();
-    // What the hall's leader heard from the engine is newer than its entry in the store.
-    let layers = told.as_ref().map_or(record.layers, |told| told.layers);
-    // Layers that the model does not have are told by an engine that is not to be believed.
+    let reported = hall.reports.engine(&record.hall, &record.id, now, read).flatten();
+    // The hall's leader heard this from the engine later than the entry in the store was written.
+    let layers = reported.as_ref().map_or(record.layers, |reported| reported.layers);
+    // A report of layers that the model does not have is not trusted.
     let is_of_model = |held: &LayerRange| !held.is_empty() && held.end <= figures.layers;
     let layers = layers.filter(is_of_model)?;
-    let told = told.unwrap_or_default();
+    let reported = reported.unwrap_or_default();
     let kind = record.accelerator.as_deref().and_then(|kind| figures.accelerator(kind));
     let factor = kind.map_or(1.0, |kind| kind.step_factor);
     let busy = 1.0 + f64::from(endpoint_tracker.in_flight(&record.id)) / DOUBLING_REQUESTS;
     let layer_ms = figures.step_ms / f64::from(figures.layers.max(1));
-    let drawn = 1.0 + CHANCE * chance.fraction();
-    let unseen = unseen(context, ask, record, &told);
+    let jitter = 1.0 + COST_JITTER * chance.fraction();
+    let unreported = unreported_load(context, request, record, &reported);
     let capacity = kind.and_then(|kind| kv_capacity(figures, kind, layers.len()));
-    let room = capacity.map(|capacity| KvRoom::new(capacity, told.kv_share, unseen.kv));
-    let places_share = match layers.first {
-        0 => (told.requests + unseen.requests) / f64::from(record.slots.max(1)),
+    let room = capacity.map(|capacity| KvRoom::new(capacity, reported.kv_share, unreported.kv));
+    let slots_share = match layers.first {
+        0 => (reported.requests + unreported.requests) / f64::from(record.slots.max(1)),
         _ => 0.0,
     };
     let time = kind.filter(|_| mechanisms.time_share).map_or(0.0, |kind| {
-        time_share(figures, told.requests, work_ms(figures, kind, layers.len(), told.pace))
+        time_share(figures, reported.requests, work_ms(figures, kind, layers.len(), reported.pace))
     });
-    // What it is shortest of decides.
-    let kv_share = room.map_or(told.kv_share, |room| room.taken_share());
-    let taken_share = kv_share.max(places_share).max(time);
-    let crowd_ms = if mechanisms.crowd_cost { crowd_cost_ms(taken_share) } else { 0.0 };
+    // The scarcest resource determines the cost.
+    let kv_share = room.map_or(reported.kv_share, |room| room.taken_share());
+    let used_share = kv_share.max(slots_share).max(time);
+    let utilisation_ms = if mechanisms.crowd_cost { utilisation_cost_ms(used_share) } else { 0.0 };
     let health_ms = match mechanisms.health_cost {
         true => endpoint_tracker.use_cost_ms(&record.id, now),
         false => 0.0,
@@ -297,74 +314,75 @@
         address: record.address,
         hall: record.hall.clone(),
         layers,
-        use_cost_ms: PART_COST_MS + crowd_ms + health_ms,
-        layer_cost_ms: layer_ms * factor * told.pace * busy * drawn,
+        use_cost_ms: PART_COST_MS + utilisation_ms + health_ms,
+        layer_cost_ms: layer_ms * factor * reported.pace * busy * jitter,
     };
-    Some(Candidate { holder, room, places_share })
+    Some(Candidate { holder, room, slots_share })
 }
 
-/// What an engine was sent since the state that it reported, by all VMs.
-fn unseen(
+/// Load that all VMs together sent to an engine since its last report.
+fn unreported_load(
     context: RoutingContext<'_>,
-    ask: PathRequest<'_>,
+    request: PathRequest<'_>,
     record: &EndpointRecord,
-    told: &Told,
+    reported: &ReportedLoad,
 ) -> Unseen {
-    let reported_at = told.reported_at.unwrap_or(context.now);
+    let reported_at = reported.reported_at.unwrap_or(context.now);
     if !context.mechanisms.unseen_sends {
         return Unseen::default();
     }
     let own = context.endpoint_tracker.sent_since(&record.id, reported_at);
-    // Like VMs get like shares of callers and choose by the same reports: those of this hall at its
-    // engines, and those of all other halls at the engines of a hall that has room left.
-    let senders = match record.hall == ask.home {
-        true => told.vms,
-        false => context.hall.reports.max_fleet_vms().saturating_sub(told.vms),
+    // VMs get about the same share of callers and choose by the same reports, so each is assumed to
+    // have sent the same. Senders to an engine of the local hall are the VMs of this hall; senders
+    // to an engine of another hall with room left are the VMs of all halls but that one.
+    let senders = match record.hall == request.local_hall {
+        true => reported.vms,
+        false => context.hall.reports.max_fleet_vms().saturating_sub(reported.vms),
     };
     own.times(f64::from(senders.max(1)))
 }
 
-/// What a hall's leader tells of an engine, as far as it bears on paths.
+/// State of an engine as reported by its hall's leader.
 #[derive(Debug)]
-struct Told {
+struct ReportedLoad {
     layers: Option<LayerRange>,
-    /// Used part of its KV cache.
+    /// Used share of its KV cache.
     kv_share: f64,
-    /// Requests that run or wait there.
+    /// Requests running or waiting.
     requests: f64,
-    /// Factor on its usual times.
+    /// Slowdown: factor on its usual times.
     pace: f64,
-    /// When its report held.
+    /// Time at which the report was valid.
     reported_at: Option<Instant>,
-    /// VMs of its hall.
+    /// VMs in its hall.
     vms: u32,
 }
 
-impl Default for Told {
-    /// An engine of which nothing was told is taken for idle and well.
+impl Default for ReportedLoad {
+    /// // An engine without a report is assumed to be idle and healthy.
     fn default() -> Self {
         Self { layers: None, kv_share: 0.0, requests: 0.0, pace: 1.0, reported_at: None, vms: 1 }
     }
 }
 
-impl Told {
-    fn new(news: ReportedEngine<'_>, figures: &EngineFigures) -> Self {
-        let engine = news.state;
+impl ReportedLoad {
+    fn new(reported: ReportedEngine<'_>, figures: &EngineFigures) -> Self {
+        let engine = reported.state;
         let lag_s = figures.report_lag_ms.clamp(0.0, MAX_REPORT_LAG.as_millis() as f64) / 1000.0;
         let lag = Duration::from_secs_f64(lag_s);
         Self {
             layers: (!engine.is_lost).then_some(engine.layers).flatten(),
             kv_share: f64::from(engine.kv_permille) / 1000.0,
             requests: f64::from(engine.running) + f64::from(engine.waiting),
-            pace: (f64::from(engine.pace_permille) / 1000.0).clamp(1.0, MAX_PACE),
-            reported_at: news.as_of.checked_sub(lag),
-            vms: news.vms,
+            pace: (f64::from(engine.pace_permille) / 1000.0).clamp(1.0, MAX_SLOWDOWN),
+            reported_at: reported.as_of.checked_sub(lag),
+            vms: reported.vms,
         }
     }
 }
 
-/// Cost of an engine by the part that is taken of what it is shortest of.
-fn crowd_cost_ms(share: f64) -> f64 {
-    let over = (share - FREE_SHARE).max(0.0) / (1.0 - FREE_SHARE);
-    over * over * FULL_COST_MS
+/// Cost of an engine by the used share of its scarcest resource.
+fn utilisation_cost_ms(share: f64) -> f64 {
+    let over = (share - FREE_UTILISATION).max(0.0) / (1.0 - FREE_UTILISATION);
+    over * over * FULL_ENGINE_COST_MS
 }
--- a/crates/sillbank_gateway/src/placement/leadership.rs
+++ b/crates/sillbank_gateway/src/placement/leadership.rs
@@ -1,4 +1,6 @@
-//! The lease of a hall: who places layers and tells the others.
+//! Leader election of a hall by a lease in the store.
+//!
+//! The holder places layers and updates the other VMs.
 
 use crate::gateway::{Gateway, LifecycleState};
 use crate::hall::LeaderScore;
@@ -11,25 +13,27 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Term of a hall's lease. A holder that is killed is followed by another VM after 9/8 of it.
+/// Term of a hall's lease. When its holder is killed, another VM takes over after 9/8 of the term.
 const LEASE_TERM: Duration = Duration::from_millis(2_600);
-/// Shortest time between reads of the lease by a VM. One that held it last reads so often, to take it
-/// again once the store is back. Each read is a priced call.
+/// Shortest interval between lease reads by a VM, as each read is billed. The last holder reads at
+/// this interval, so that it takes the lease again once the store is back.
 const LEASE_READ_INTERVAL: Duration = Duration::from_millis(400);
-/// Pause after a read that failed, of a VM whose hall has few VMs.
+/// Pause after a failed read of a VM in a small hall.
 const FAILED_READ_PAUSE: Duration = Duration::from_millis(800);
-/// How long a VM that has begun waits for an answer of the leader that the store names before it reads the
-/// lease in earnest. An ask is answered within 100 ms where the leader is there.
-const NAMED_LEADER_WAIT: Duration = Duration::from_millis(500);
-/// How many times stronger another VM must be that this one hands the lease over to. Less than that is
-/// not worth the moment in which engines are asked anew.
-const MUCH_STRONGER: LeaderScore = 2.0;
-/// How long a VM leads before it hands the lease over to a stronger one: by then all VMs of its hall ask it.
-const LED_FOR: Duration = Duration::from_millis(1_500);
-/// VMs of a hall read a lease that has lapsed one after the other, so that the first of them takes it and
-/// the others find it taken: time for one VM, in which it reads and writes, and least time for all.
-const TURN_OF_VM: Duration = Duration::from_millis(10);
-const LEAST_TURNS: Duration = Duration::from_millis(200);
+/// How long a VM that starts waits for a reply of the leader recorded in the store before it reads
+/// the lease itself. A live leader replies within 100 ms.
+const RECORDED_LEADER_WAIT: Duration = Duration::from_millis(500);
+/// Ratio of leader scores from which the lease is handed over. A smaller gain is not worth the
+/// moment in which the new leader polls all engines again.
+const HANDOVER_SCORE_RATIO: LeaderScore = 2.0;
+/// How long a VM leads before it hands the lease over to a fitter one. By then all VMs of the hall
+/// follow it.
+const MIN_LEADING_TIME: Duration = Duration::from_millis(1_500);
+/// The VMs of a hall read a lapsed lease one after the other, so that the first takes it and the
+/// others find it taken. This is the time for one VM, which covers a read and a write.
+const STAGGER_PER_VM: Duration = Duration::from_millis(10);
+/// Shortest time over which the reads of all VMs are spread.
+const MIN_STAGGER: Duration = Duration::from_millis(200);
 
 /// Name of the lease of a hall.
 pub fn lease_name(hall: &str) -> String {
@@ -40,23 +44,23 @@
     Moment::from_clocks(Instant::now(), SystemTime::now())
 }
 
-/// The hall's lease as this VM sees it.
+/// The lease of this hall as this VM sees it.
 pub(super) struct Leadership<W: Wire, S: MetadataStore> {
     gateway: Rc<Gateway<W, S>>,
     lease: Lease<Revision>,
-    /// Era of the store in which the lease was last looked at.
+    /// Era of the store at the last check of the lease.
     era: Option<Era>,
     chance: Chance,
     name: String,
-    /// Where the leader is asked by what the store told at the start; the lease itself goes before it.
-    named: Option<SocketAddr>,
-    /// Earliest time of the next read, unless it is known when the lease lapses.
-    read_from: Instant,
-    /// Time after the lease has lapsed at which it is this VM's turn to read it.
-    turn: Duration,
-    was_looked_up: bool,
-    leads_since: Option<Instant>,
-    /// Whom this VM handed the lease to, until it reads it again.
+    /// Address of the leader recorded in the store at the start. The lease itself takes precedence.
+    recorded_leader: Option<SocketAddr>,
+    /// Earliest time of the next read, unless the end of the lease is known.
+    next_read_at: Instant,
+    /// Time after the end of the lease at which this VM reads it.
+    stagger: Duration,
+    has_looked_up_leader: bool,
+    leading_since: Option<Instant>,
+    /// VM to which the lease was handed over, until the next read.
     handed_to: Option<SocketAddr>,
 }
 
@@ -71,32 +75,32 @@
             era: gateway.store.newest_era(),
             chance: gateway.chance.clone(),
             name: lease_name(&settings.hall),
-            named: None,
-            read_from: Instant::now(),
-            turn: Duration::ZERO,
-            was_looked_up: false,
-            leads_since: None,
+            recorded_leader: None,
+            next_read_at: Instant::now(),
+            stagger: Duration::ZERO,
+            has_looked_up_leader: false,
+            leading_since: None,
             handed_to: None,
         }
     }
 
-    /// Whether the lease is held at this moment. Ask right before each use.
+    /// Whether the lease is held now. Check right before each use.
     pub(super) fn is_held(&self) -> bool {
         self.lease.fence(moment()).is_some()
     }
 
-    /// Takes, renews or frees the lease, whichever is due.
-    pub(super) async fn keep(&mut self) {
+    /// Acquires, renews or releases the lease, whichever is due.
+    pub(super) async fn tick(&mut self) {
         let now = Instant::now();
-        self.note_era();
+        self.check_era();
         if self.gateway.lifecycle.get() != LifecycleState::Serving {
             self.give_up().await;
             return;
         }
-        if !self.was_looked_up {
-            self.look_up().await;
+        if !self.has_looked_up_leader {
+            self.look_up_leader().await;
         }
-        if let Some((vm, peer)) = self.stronger(now) {
+        if let Some((vm, peer)) = self.handover_target(now) {
             self.hand_over(vm, peer).await;
             return;
         }
@@ -108,12 +112,12 @@
             let end = self.gateway.store.write_lease(&self.name, &write).await;
             self.lease.on_write_end(moment(), end);
         }
-        self.note();
+        self.publish_leader();
     }
 
-    /// Notes whether the store was restored from a copy, which may have lost what was written of the lease. The first era
-    /// that is seen tells nothing.
-    fn note_era(&mut self) {
+    /// Detects a restore of the store from a backup, which may have lost writes of the lease. The
+    /// first era seen is no restore.
+    fn check_era(&mut self) {
         let era = self.gateway.store.newest_era();
         let before = std::mem::replace(&mut self.era, era);
         if before.is_none() || era <= before {
@@ -123,40 +127,43 @@
         tracing::info!(lease = self.name, holds = self.is_held(), "lease: The store was restored.");
     }
 
-    /// Looks up who leads when this VM begins: most begin while somebody does, and need not read the lease.
-    async fn look_up(&mut self) {
-        self.was_looked_up = true;
+    /// Looks up the recorded leader once at the start. Most VMs start while their hall has a leader
+    /// and need not read the lease.
+    async fn look_up_leader(&mut self) {
+        self.has_looked_up_leader = true;
         let own = self.gateway.settings().peer_listen;
         match self.gateway.store.peek_lease(&self.name).await {
             Ok(Some(record)) if !record.owner.is_empty() && record.peer != own => {
-                self.named = Some(record.peer);
-                self.read_from = Instant::now() + NAMED_LEADER_WAIT;
+                self.recorded_leader = Some(record.peer);
+                self.next_read_at = Instant::now() + RECORDED_LEADER_WAIT;
             }
-            // It was held by the process before this one, which may take it again at once.
+            // The previous process of this VM held the lease and may take it again at once.
             Ok(Some(record)) if record.peer == own => {}
-            // Free or never held: the VMs of the hall read it one after the other.
-            Ok(_) => self.read_from = Instant::now() + LEAST_TURNS.mul_f64(self.chance.fraction()),
-            Err(error) => tracing::debug!(%error, "lease: It could not be looked up."),
+            // Released or never held: the VMs of the hall read it one after the other.
+            Ok(_) => {
+                self.next_read_at = Instant::now() + MIN_STAGGER.mul_f64(self.chance.fraction())
+            }
+            Err(error) => tracing::debug!(%error, "lease: The recorded leader could not be read."),
         }
     }
 
-    /// Reads the lease; answers the write to make, if any.
+    /// Reads the lease and returns the write to make, if any.
     async fn read(&mut self) -> Option<LeaseWrite<Revision>> {
         self.handed_to = None;
         let hall = &self.gateway.hall;
-        let turns = (TURN_OF_VM * hall.max_hall_vms()).max(LEAST_TURNS);
+        let max_stagger = (STAGGER_PER_VM * hall.max_hall_vms()).max(MIN_STAGGER);
         // A VM that is not fit to lead comes after all others.
-        let before = if self.gateway.leader_score() > 0.0 { Duration::ZERO } else { turns };
-        self.turn = before + turns.mul_f64(self.chance.fraction());
+        let before = if self.gateway.leader_score() > 0.0 { Duration::ZERO } else { max_stagger };
+        self.stagger = before + max_stagger.mul_f64(self.chance.fraction());
         match self.gateway.store.read_lease(&self.name).await {
             Ok(read) => {
-                self.read_from = Instant::now() + LEASE_READ_INTERVAL;
-                self.note_era();
+                self.next_read_at = Instant::now() + LEASE_READ_INTERVAL;
+                self.check_era();
                 self.lease.on_read(moment(), read, self.chance.number())
             }
             Err(error) => {
-                self.read_from = Instant::now() + self.pause_after_failure();
-                tracing::debug!(%error, "lease: It could not be read.");
+                self.next_read_at = Instant::now() + self.pause_after_failure();
+                tracing::debug!(%error, "lease: The lease could not be read.");
                 None
             }
         }
@@ -170,31 +177,32 @@
         }
     }
 
-    /// A VM whose leader holds the lease need not read it, nor one that has lost the store as its leader
-    /// has. One that has lost its leader reads the lease, and again when it will have lapsed.
+    /// Whether to read the lease now. A VM need not read it while its leader holds it, or while
+    /// both have lost the store. A VM that lost its leader reads the lease at once, and again when
+    /// it has lapsed.
     fn read_is_due(&self, now: Instant) -> bool {
         let hall = &self.gateway.hall;
         let store_is_away = hall.leader_is_live(now) && !self.gateway.store_is_reached();
         if hall.take_nomination() {
             return true;
         }
-        if hall.leader_holds_lease(now) || store_is_away || now < self.read_from {
+        if hall.leader_holds_lease(now) || store_is_away || now < self.next_read_at {
             return false;
         }
         if hall.acting_fence.get().is_some() {
             return true;
         }
-        self.lease.lapses_at().is_none_or(|lapses_at| now >= lapses_at + self.turn)
+        self.lease.lapses_at().is_none_or(|lapses_at| now >= lapses_at + self.stagger)
     }
 
-    /// A VM of the hall that is to lead in place of this one.
-    fn stronger(&self, now: Instant) -> Option<(VmId, SocketAddr)> {
+    /// The VM of the hall to hand the lease over to, if any.
+    fn handover_target(&self, now: Instant) -> Option<(VmId, SocketAddr)> {
         let is_settled = self.is_held() && self.lease.state() != LeaseState::Restored;
-        let since = self.leads_since.filter(|_| is_settled)?;
-        if now.saturating_duration_since(since) < LED_FOR {
+        let since = self.leading_since.filter(|_| is_settled)?;
+        if now.saturating_duration_since(since) < MIN_LEADING_TIME {
             return None;
         }
-        self.gateway.hall.best_follower(now, self.gateway.leader_score() * MUCH_STRONGER)
+        self.gateway.hall.best_follower(now, self.gateway.leader_score() * HANDOVER_SCORE_RATIO)
     }
 
     async fn hand_over(&mut self, vm: VmId, peer: SocketAddr) {
@@ -206,11 +214,11 @@
             self.handed_to = Some(peer);
         }
         tracing::info!(lease = self.name, to = vm, ?end, "lease: Handed over.");
-        self.note();
+        self.publish_leader();
         self.gateway.hall.wake_followers();
     }
 
-    /// Ends the lease of a VM that stops, so that another takes it at once.
+    /// Releases the lease when this VM stops, so that another VM takes it at once.
     async fn give_up(&mut self) {
         if let Some((vm, peer)) = self.gateway.hall.best_follower(Instant::now(), 0.0)
             && self.is_held()
@@ -222,18 +230,18 @@
             let end = self.gateway.store.write_lease(&self.name, &write).await;
             self.lease.on_write_end(moment(), end);
         }
-        self.note();
+        self.publish_leader();
     }
 
-    /// Notes who leads, for the other parts of this VM.
-    fn note(&mut self) {
+    /// Publishes who leads to the other parts of this VM.
+    fn publish_leader(&mut self) {
         let fence = self.lease.fence(moment());
-        self.leads_since = fence.and(self.leads_since.or_else(|| Some(Instant::now())));
+        self.leading_since = fence.and(self.leading_since.or_else(|| Some(Instant::now())));
         let hall = &self.gateway.hall;
         let own = self.gateway.settings().peer_listen;
-        let by_word = hall.redirect().or(self.handed_to);
-        let by_lease = self.lease.holder().map(|record| record.peer).or(self.named);
-        let leader = by_word.or(by_lease);
+        let by_redirect = hall.redirect().or(self.handed_to);
+        let by_lease = self.lease.holder().map(|record| record.peer).or(self.recorded_leader);
+        let leader = by_redirect.or(by_lease);
         hall.leader.set(leader.filter(|leader| *leader != own));
         let held_before = hall.lease_fence.replace(fence).is_some();
         let other_leads = hall.leader.get().is_some();
--- a/crates/sillbank_gateway/src/placement/mod.rs
+++ b/crates/sillbank_gateway/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Gives the engines of this hall their layers, while this VM holds the hall's lease.
+//! Assigns layers to the engines of this hall while this VM holds the hall's lease.
 
 mod leadership;
 mod reports;
@@ -14,7 +14,7 @@
 use crate::store::MetadataStore;
 use crate::wire::{EngineReport, PlaceOrder, Wire};
 use leadership::Leadership;
-use reports::{ENGINE_CALL_LIMIT, ask};
+use reports::{ENGINE_CALL_LIMIT, poll_report};
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
@@ -23,50 +23,51 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often the lease and the plan are looked at.
+/// Interval at which the lease and the plan are checked.
 const TICK: Duration = Duration::from_millis(250);
-/// How often engines are asked for their reports. Each is priced like a status check.
+/// Interval at which engines are polled for reports. Each poll is billed like a health check.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
-/// How often engines are asked while one of them is nearly full: VMs then refuse by what was told, and
-/// send too much or too little by what it leaves out. At a tick each, a hall of 13 engines is asked 52
-/// times a second.
+/// Polling interval while an engine is nearly full: VMs shed requests by the last report, and send
+/// too much or too little by what changed since. With one poll per tick a hall of 13 engines
+/// receives 52 polls a second.
 const REPORT_INTERVAL_NEARLY_FULL: Duration = TICK;
-/// How long the set of engines must stand still before layers are given out for the first time.
-const SETTLE: Duration = Duration::from_millis(700);
-/// How long an order that got no answer may still be carried out before it is given again. The
-/// engine refuses it if the first one came through after all.
-const ORDER_PAUSE: Duration = Duration::from_millis(3_000);
+/// How long the set of engines must stay unchanged before layers are assigned for the first time.
+const SETTLE_TIME: Duration = Duration::from_millis(700);
+/// How long an unanswered order may still be carried out before it is sent again. The engine
+/// refuses the second one if the first arrived after all.
+const ORDER_RETRY_PAUSE: Duration = Duration::from_millis(3_000);
 
-/// Factor on the requests that run in a hall which it is laid out for: crowds come, and other halls are lost.
+/// Factor on a hall's running requests for which it is planned: load peaks, and other halls may
+/// fail.
 const LOAD_MARGIN: f64 = 1.5;
 
-/// State of the placement on one VM.
+/// Placement state of one VM.
 struct Placement<W: Wire, S: MetadataStore> {
     gateway: Rc<Gateway<W, S>>,
     leadership: Leadership<W, S>,
-    known: HashMap<EndpointId, TrackedEngine>,
-    rounds: ReportSchedule,
-    members: (Vec<EndpointId>, Instant),
+    tracked: HashMap<EndpointId, TrackedEngine>,
+    schedule: ReportSchedule,
+    engine_set: (Vec<EndpointId>, Instant),
     chains: BTreeMap<ServiceId, Chains>,
 }
 
-/// Keeps the layers of this hall's engines placed for as long as the program runs.
+/// Keeps layers assigned to this hall's engines while the program runs.
 pub async fn place_layers<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     let mut placement = Placement {
         leadership: Leadership::new(&gateway),
-        known: HashMap::new(),
-        rounds: ReportSchedule::default(),
-        members: (Vec::new(), Instant::now()),
+        tracked: HashMap::new(),
+        schedule: ReportSchedule::default(),
+        engine_set: (Vec::new(), Instant::now()),
         chains: BTreeMap::new(),
         gateway,
     };
     loop {
-        placement.leadership.keep().await;
+        placement.leadership.tick().await;
         if placement.gateway.hall.acting_fence.get().is_some() {
-            placement.place().await;
+            placement.run_round().await;
         } else {
-            // Another leads meanwhile: what was known may be out of date.
-            placement.known.clear();
+            // Another VM leads meanwhile, so this state may be outdated.
+            placement.tracked.clear();
             placement.chains.clear();
         }
         smol::Timer::after(TICK).await;
@@ -74,16 +75,16 @@
 }
 
 impl<W: Wire, S: MetadataStore> Placement<W, S> {
-    /// Tells what is known of the hall's engines.
-    fn publish_report(&self) {
+    /// Publishes the state of the hall's engines.
+    fn publish_hall_report(&self) {
         let settings = self.gateway.settings();
         let now = Instant::now();
-        let engines = self.known.iter().map(|(id, known)| {
-            EngineState::new(id.clone(), known.newest_life(), known.report.as_ref())
+        let engines = self.tracked.iter().map(|(id, tracked)| {
+            EngineState::new(id.clone(), tracked.newest_life(), tracked.report.as_ref())
         });
         let vms = self.gateway.hall.live_vms(now);
         self.gateway.hall.record_hall_vms(vms);
-        let board = HallReport {
+        let report = HallReport {
             hall: settings.hall.clone(),
             age_ms: 0,
             vms,
@@ -92,29 +93,29 @@
             engines: engines.collect(),
             demand: self.gateway.hall_demand(now),
         };
-        self.gateway.on_reported_incarnations(&board);
+        self.gateway.on_reported_incarnations(&report);
         match settings.mechanisms.prompt_news {
-            true => self.gateway.hall.publish_report(now, board),
-            false => self.gateway.hall.reports.insert(now, board),
+            true => self.gateway.hall.publish_report(now, report),
+            false => self.gateway.hall.reports.insert(now, report),
         }
     }
 
-    /// Asks the hall's engines and tells of them, also while the store is away and nobody can hold the
-    /// lease; gives orders only under the lease.
-    async fn place(&mut self) {
+    /// Polls the hall's engines and publishes the result, also while the store is unreachable and
+    /// no VM can hold the lease. Orders are sent only under the lease.
+    async fn run_round(&mut self) {
         let Some(catalog) = self.gateway.platform.catalog() else {
             return;
         };
         let services: Vec<Rc<Service>> =
             catalog.services().filter(|service| service.engine.is_some()).cloned().collect();
         let now = Instant::now();
-        let is_pressed = self.gateway.settings().mechanisms.pressed_reports;
-        let interval = match is_pressed && self.is_any_nearly_full() {
+        let polls_faster = self.gateway.settings().mechanisms.pressed_reports;
+        let interval = match polls_faster && self.is_any_nearly_full() {
             true => REPORT_INTERVAL_NEARLY_FULL,
             false => REPORT_INTERVAL,
         };
         let has_engines = self.has_engines_of(&services);
-        if !self.rounds.is_due(now, interval, has_engines) && !self.has_new_suspect() {
+        if !self.schedule.is_due(now, interval, has_engines) && !self.has_new_suspect() {
             return;
         }
         for service in services {
@@ -122,8 +123,8 @@
                 self.place_service(&service.name, figures).await;
             }
         }
-        self.rounds.on_round_started(now, has_engines);
-        self.publish_report();
+        self.schedule.on_round_started(now, has_engines);
+        self.publish_hall_report();
     }
 
     /// Whether engines of these services are listed in this hall.
@@ -135,20 +136,20 @@
         })
     }
 
-    /// Whether an engine has little KV cache left by its last report, or lets requests wait.
+    /// Whether an engine's last report shows little free KV cache or waiting requests.
     fn is_any_nearly_full(&self) -> bool {
         let nearly_full = |report: &EngineReport| {
             report.waiting > 0 || report.kv_share * 1000.0 >= f64::from(NEARLY_FULL_PERMILLE)
         };
-        self.known.values().any(|known| known.report.as_ref().is_some_and(nearly_full))
+        self.tracked.values().any(|tracked| tracked.report.as_ref().is_some_and(nearly_full))
     }
 
-    /// Whether this VM's own exchanges found an engine lost that still counts as well.
+    /// Whether an engine that this VM has ejected still counts as healthy.
     fn has_new_suspect(&self) -> bool {
-        let counts = |known: &TrackedEngine| known.report.is_some();
-        self.known
+        let counts = |tracked: &TrackedEngine| tracked.report.is_some();
+        self.tracked
             .iter()
-            .any(|(id, known)| counts(known) && self.gateway.endpoint_tracker.is_ejected(id))
+            .any(|(id, tracked)| counts(tracked) && self.gateway.endpoint_tracker.is_ejected(id))
     }
 
     async fn place_service(&mut self, service: &str, figures: &EngineFigures) {
@@ -158,26 +159,26 @@
                 let in_hall = directory.usable_of(service).filter(|record| record.hall == hall);
                 in_hall.map(|record| (record.id.clone(), record.clone())).collect()
             });
-        self.ask_all(&engines, figures.layers).await;
+        self.poll_all(&engines, figures.layers).await;
         let now = Instant::now();
         let ids: Vec<EndpointId> = engines.keys().cloned().collect();
-        if self.members.0 != ids {
-            self.members = (ids, now);
+        if self.engine_set.0 != ids {
+            self.engine_set = (ids, now);
         }
         let alive: Vec<&EndpointRecord> = engines
             .values()
-            .filter(|record| self.known.get(&record.id).is_some_and(|k| k.report.is_some()))
+            .filter(|record| self.tracked.get(&record.id).is_some_and(|k| k.report.is_some()))
             .collect();
         if alive.len() * 2 <= engines.len() || !self.leadership.is_held() {
-            // More likely this VM is cut off than most engines lost.
+            // More likely this VM is partitioned than most engines are lost.
             return;
         }
         let is_first = alive.iter().all(|record| self.layers_of(&record.id).is_none());
-        if is_first && now.saturating_duration_since(self.members.1) < SETTLE {
+        if is_first && now.saturating_duration_since(self.engine_set.1) < SETTLE_TIME {
             return;
         }
         let views: Vec<EngineView> =
-            alive.iter().filter_map(|record| self.view(record, now)).collect();
+            alive.iter().filter_map(|record| self.engine_view(record, now)).collect();
         let load = self.load();
         let chains = self.chains.entry(service.to_owned()).or_default();
         let targets = match is_first {
@@ -192,86 +193,89 @@
             return;
         };
         for target in targets {
-            self.order(engines[&target.endpoint].address, &target).await;
+            self.send_order(engines[&target.endpoint].address, &target).await;
         }
     }
 
-    /// Requests that the hall is to have room for: those that begin at its engines now, and more.
+    /// Concurrent requests to plan for: those that start at the hall's engines now, with a margin.
     fn load(&self) -> f64 {
-        let reports = self.known.values().filter_map(|known| known.report.as_ref());
+        let reports = self.tracked.values().filter_map(|tracked| tracked.report.as_ref());
         let firsts = reports.filter(|report| report.layers.is_some_and(|layers| layers.first == 0));
         let requests =
             firsts.map(|report| f64::from(report.running) + f64::from(report.waiting)).sum::<f64>();
         requests * LOAD_MARGIN
     }
 
-    fn view(&self, record: &EndpointRecord, now: Instant) -> Option<EngineView> {
-        let known = self.known.get(&record.id)?;
-        let order_under_way = known.report.as_ref()?.order_under_way;
+    fn engine_view(&self, record: &EndpointRecord, now: Instant) -> Option<EngineView> {
+        let tracked = self.tracked.get(&record.id)?;
+        let order_under_way = tracked.report.as_ref()?.order_under_way;
         let may_come =
-            |at: Instant| order_under_way || now.saturating_duration_since(at) < ORDER_PAUSE;
+            |at: Instant| order_under_way || now.saturating_duration_since(at) < ORDER_RETRY_PAUSE;
         Some(EngineView {
             id: record.id.clone(),
             kind: record.accelerator.clone()?,
             serves: self.layers_of(&record.id),
-            ordered: known.ordered.filter(|(_, at)| may_come(*at)).map(|(layers, _)| layers),
+            ordered: tracked.ordered.filter(|(_, at)| may_come(*at)).map(|(layers, _)| layers),
             order_under_way,
         })
     }
 
     fn layers_of(&self, id: &str) -> Option<LayerRange> {
-        let report = self.known.get(id)?.report.as_ref()?;
+        let report = self.tracked.get(id)?.report.as_ref()?;
         report.layers.filter(|layers| !layers.is_empty())
     }
 
-    /// Asks all engines for their reports at once; the model has so many layers.
-    async fn ask_all(&mut self, engines: &BTreeMap<EndpointId, EndpointRecord>, layers: u16) {
-        self.known.retain(|id, _| engines.contains_key(id));
+    /// Polls all engines for reports concurrently. The model has `layers` layers.
+    async fn poll_all(&mut self, engines: &BTreeMap<EndpointId, EndpointRecord>, layers: u16) {
+        self.tracked.retain(|id, _| engines.contains_key(id));
         for id in engines.keys() {
-            let newest_life = self.gateway.platform.endpoints(|known| known.newest_life(id));
-            self.known.entry(id.clone()).or_default().on_life(newest_life);
+            let newest_life =
+                self.gateway.platform.endpoints(|directory| directory.newest_life(id));
+            self.tracked.entry(id.clone()).or_default().on_life(newest_life);
         }
-        let asking: Vec<(EndpointId, smol::Task<ReportOutcome>)> = engines
+        let polls: Vec<(EndpointId, smol::Task<ReportOutcome>)> = engines
             .values()
             .map(|record| {
-                let asked = ask(self.gateway.clone(), record.address);
-                (record.id.clone(), self.gateway.executor.spawn(asked))
+                let outcome = poll_report(self.gateway.clone(), record.address);
+                (record.id.clone(), self.gateway.executor.spawn(outcome))
             })
             .collect();
-        for (id, task) in asking {
-            let asked = task.await.within(layers);
+        for (id, task) in polls {
+            let outcome = task.await.within(layers);
             let is_suspect = self.gateway.endpoint_tracker.is_ejected(&id);
-            let known = self.known.entry(id.clone()).or_default();
-            if let ReportOutcome::Unreadable(reason) = &asked {
+            let tracked = self.tracked.entry(id.clone()).or_default();
+            if let ReportOutcome::Unreadable(reason) = &outcome {
                 self.gateway.metrics.unreadable.get_or_create(&KindLabel { kind: "report" }).inc();
-                if known.is_new_fault(reason) {
+                if tracked.is_new_fault(reason) {
                     tracing::warn!(endpoint = id, reason, "endpoint: Its reports cannot be read.");
                 }
             }
-            known.on_asked(asked, is_suspect);
+            tracked.on_polled(outcome, is_suspect);
         }
     }
 
-    /// Orders an engine to hold its layers, unless it does or is at work on an order.
-    async fn order(&mut self, address: SocketAddr, target: &Target) {
+    /// Orders an engine to hold its target layers, unless it already does or is carrying out an
+    /// order.
+    async fn send_order(&mut self, address: SocketAddr, target: &Target) {
         let now = Instant::now();
         let held = self.layers_of(&target.endpoint);
-        let Some(known) = self.known.get_mut(&target.endpoint) else {
+        let Some(tracked) = self.tracked.get_mut(&target.endpoint) else {
             return;
         };
-        let Some(report) = &known.report else {
+        let Some(report) = &tracked.report else {
             return;
         };
         let layers = target.layers;
         if report.order_under_way || layers.is_empty() || held == Some(layers) {
             return;
         }
-        let is_pending =
-            |(_, at): &(LayerRange, Instant)| now.saturating_duration_since(*at) < ORDER_PAUSE;
-        if known.ordered.as_ref().is_some_and(is_pending) {
+        let is_pending = |(_, at): &(LayerRange, Instant)| {
+            now.saturating_duration_since(*at) < ORDER_RETRY_PAUSE
+        };
+        if tracked.ordered.as_ref().is_some_and(is_pending) {
             return;
         }
-        known.ordered = Some((layers, now));
+        tracked.ordered = Some((layers, now));
         let order =
             PlaceOrder { layers, give_up: target.give_up, expected_orders: report.orders_taken };
         let call = W::order_call(&order);
@@ -281,16 +285,16 @@
             Err(_) => "no_answer",
         };
         if end == "begun"
-            && let Some(known) = self.known.get_mut(&target.endpoint)
-            && let Some(report) = known.report.as_mut()
+            && let Some(tracked) = self.tracked.get_mut(&target.endpoint)
+            && let Some(report) = tracked.report.as_mut()
         {
-            // What is given up is not to be used from now on; what is new is told by the next report.
+            // Released layers must not be used from now on. New layers appear in the next report.
             report.layers = held.and_then(|held| common(held, layers));
         }
         if end == "conflict" || end == "refused" {
-            // It was not carried out, so it may be given again by the next report.
-            if let Some(known) = self.known.get_mut(&target.endpoint) {
-                known.ordered = None;
+            // The order was not carried out, so it may be sent again after the next report.
+            if let Some(tracked) = self.tracked.get_mut(&target.endpoint) {
+                tracked.ordered = None;
             }
         }
         self.gateway.metrics.orders.get_or_create(&KindLabel { kind: end }).inc();
@@ -301,12 +305,12 @@
             expected_orders = order.expected_orders,
             end,
             error = ended.err().map(|error| error.to_string()),
-            "order: Given."
+            "order: Sent to an engine."
         );
     }
 }
 
-/// Layers in both ranges.
+/// Intersection of two ranges.
 fn common(a: LayerRange, b: LayerRange) -> Option<LayerRange> {
     let both = LayerRange { first: a.first.max(b.first), end: a.end.min(b.end) };
     (!both.is_empty()).then_some(both)
--- a/crates/sillbank_gateway/src/placement/reports.rs
+++ b/crates/sillbank_gateway/src/placement/reports.rs
@@ -1,4 +1,4 @@
-//! What a hall's leader knows of engines by asking them for reports.
+//! Polls the engines of a hall for reports, as done by its leader.
 
 use crate::gateway::Gateway;
 use crate::store::MetadataStore;
@@ -10,45 +10,45 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long an engine may take to report or to take an order.
+/// Timeout for a report or an order of an engine.
 pub(super) const ENGINE_CALL_LIMIT: Duration = Duration::from_millis(500);
-/// Reports in a row that may be missing before an engine is taken for lost.
-const MISSED_REPORTS: u32 = 2;
+/// Consecutive missing reports from which an engine is considered lost.
+const MAX_MISSED_REPORTS: u32 = 2;
 
-/// What is known of one engine by asking it.
+/// What polling revealed about one engine.
 #[derive(Debug, Clone, Default)]
 pub struct TrackedEngine {
-    /// The newest life that its entry or its reports told of.
+    /// Newest incarnation known from its entry or its reports.
     newest_life: Option<BornMs>,
-    /// Its newest report, unless it is lost.
+    /// Its latest report; `None` while it is lost.
     pub report: Option<EngineReport>,
-    /// Reports in a row that are missing.
+    /// Consecutive missing reports.
     missed: u32,
-    /// Why its last report could not be read, since one could be.
+    /// Why its reports cannot be parsed; `None` after one that can.
     fault: Option<String>,
-    /// Layers it was ordered to hold last, and when.
+    /// Layers of its last order, and when that was sent.
     pub ordered: Option<(LayerRange, Instant)>,
 }
 
-/// What came of asking an engine for its report.
+/// Outcome of polling an engine.
 #[derive(Debug)]
 pub enum ReportOutcome {
-    /// It reported.
+    /// It sent a report.
     Reported(EngineReport),
-    /// Nothing listens at its address.
+    /// The connection was refused: nothing listens at its address.
     Refused,
-    /// No report came.
+    /// No report arrived.
     Missed,
-    /// What came is no report; why.
+    /// The report could not be parsed, with the reason.
     Unreadable(String),
 }
 
 impl ReportOutcome {
-    /// The same, but for a report of layers that a model of `layers` layers does not have: it is not believed.
+    /// Rejects a report of layers beyond the model, which has `layers` layers.
     pub fn within(self, layers: u16) -> Self {
         match &self {
             Self::Reported(report) if report.layers.is_some_and(|held| held.end > layers) => {
-                Self::Unreadable(format!("it tells of layers beyond the {layers} of the model"))
+                Self::Unreadable(format!("it lists layers beyond the {layers} of the model"))
             }
             _ => self,
         }
@@ -56,18 +56,20 @@
 }
 
 impl TrackedEngine {
-    /// Notes why a report cannot be read; answers whether that is new since the last one that could be.
+    /// Records why a report could not be parsed. Returns whether the reason is new since the last
+    /// valid report.
     pub fn is_new_fault(&mut self, reason: &str) -> bool {
         let before = self.fault.replace(reason.to_owned());
         before.as_deref() != Some(reason)
     }
 
-    /// The newest life that is known of it.
+    /// Newest known incarnation.
     pub fn newest_life(&self) -> Option<BornMs> {
         self.newest_life
     }
 
-    /// News of one of its lives; a newer one ends what is known of those before, also what they were ordered.
+    /// Records an incarnation of the engine. A newer one discards everything known of earlier ones,
+    /// including orders.
     pub fn on_life(&mut self, born_ms: Option<BornMs>) {
         if compare_lives(born_ms, self.newest_life) == LifeOrder::Newer {
             *self = Self::default();
@@ -75,9 +77,10 @@
         self.newest_life = born_ms.max(self.newest_life);
     }
 
-    /// Takes what came of asking; `is_suspect` says whether this VM's own exchanges with the engine failed.
-    pub fn on_asked(&mut self, asked: ReportOutcome, is_suspect: bool) {
-        match asked {
+    /// Applies the outcome of polling. `is_suspect` says whether this VM's own exchanges with the
+    /// engine failed.
+    pub fn on_polled(&mut self, outcome: ReportOutcome, is_suspect: bool) {
+        match outcome {
             ReportOutcome::Reported(report)
                 if compare_lives(report.born_ms, self.newest_life) == LifeOrder::Older => {}
             ReportOutcome::Reported(report) => {
@@ -89,7 +92,7 @@
             ReportOutcome::Refused => self.report = None,
             ReportOutcome::Missed | ReportOutcome::Unreadable(_) => {
                 self.missed += 1;
-                if is_suspect || self.missed >= MISSED_REPORTS {
+                if is_suspect || self.missed >= MAX_MISSED_REPORTS {
                     self.report = None;
                 }
             }
@@ -97,13 +100,13 @@
     }
 }
 
-/// When the engines of a hall are asked, round by round.
+/// Schedule of the polling rounds for the engines of a hall.
 #[derive(Debug, Default)]
 pub struct ReportSchedule {
     last: Option<ReportRound>,
 }
 
-/// A round in which all engines of a hall are asked.
+/// A round in which all engines of a hall are polled.
 #[derive(Debug)]
 struct ReportRound {
     began: Instant,
@@ -111,9 +114,9 @@
 }
 
 impl ReportSchedule {
-    /// Whether the next round is due: `interval` after the one before. If that one found no engine, it is due as
-    /// soon as there are some: a leader that has just begun knows its endpoints a moment after its
-    /// configuration, and VMs choose blindly until engines were asked.
+    /// Whether the next round is due: `interval` after the last one, or as soon as there are
+    /// engines if the last one found none. A new leader receives its endpoints a moment after its
+    /// configuration, and VMs route blindly until engines were polled.
     pub fn is_due(&self, now: Instant, interval: Duration, has_engines: bool) -> bool {
         let Some(last) = &self.last else {
             return true;
@@ -122,14 +125,14 @@
         is_over || (!last.found_engines && has_engines)
     }
 
-    /// A round began.
+    /// Records the start of a round.
     pub fn on_round_started(&mut self, now: Instant, found_engines: bool) {
         self.last = Some(ReportRound { began: now, found_engines });
     }
 }
 
-/// Asks an engine for its report.
-pub(super) async fn ask<W: Wire, S: MetadataStore>(
+/// Polls an engine for its report.
+pub(super) async fn poll_report<W: Wire, S: MetadataStore>(
     gateway: Rc<Gateway<W, S>>,
     address: SocketAddr,
 ) -> ReportOutcome {
@@ -138,7 +141,7 @@
     let reply = match reply {
         Ok(reply) => reply,
         Err(error) => {
-            tracing::info!(endpoint = %address, %error, "endpoint: No report.");
+            tracing::info!(endpoint = %address, %error, "endpoint: The engine sent no report.");
             let is_refusal =
                 matches!(error, CallError::NotSent { .. }) && began.elapsed() < ENGINE_CALL_LIMIT;
             return if is_refusal { ReportOutcome::Refused } else { ReportOutcome::Missed };
--- a/crates/sillbank_gateway/src/placement/targets.rs
+++ b/crates/sillbank_gateway/src/placement/targets.rs
@@ -1,4 +1,6 @@
-//! What the engines of a hall should hold. Pure: what is known of them comes in, targets go out.
+//! Computes which layers the engines of a hall should hold.
+//!
+//! Pure functions without I/O or clocks.
 
 use crate::wire::GiveUp;
 use sillbank_catalog::prelude::*;
@@ -7,101 +9,108 @@
 use sillbank_layers::prelude::*;
 use std::collections::BTreeMap;
 
-/// What the planner weighs, in layers loaded. A layer given up ends paths of requests that pass, so
-/// it costs more than a load; even shares count less, so that nothing moves for them alone.
+/// Planner weights, in units of one loaded layer. Releasing a layer ends the paths of passing
+/// requests, so it costs more than a load. Balance counts less than one load, so that no layer
+/// moves for it alone.
 const WEIGHTS: PlanWeights = PlanWeights { load: 1.0, give_up: 2.0, balance: 0.1 };
-/// Costs of little room for KV cache, in layers loaded: below this many requests of the usual size,
-/// this much more. A hall of the sites known runs some 60 requests at once, and preempts when its
-/// tightest engine has no room for them.
-const ROOM_COSTS: [(f64, f64); 4] = [(120.0, 2.0), (80.0, 8.0), (40.0, 20.0), (15.0, 60.0)];
+/// Costs of little free KV cache, as pairs of a number of requests of the usual size and the cost,
+/// in units of one loaded layer, of having room for fewer than that. A hall of the known
+/// deployments runs about 60 requests at once, and preempts when its smallest engine has no room
+/// for them.
+const KV_ROOM_COSTS: [(f64, f64); 4] = [(120.0, 2.0), (80.0, 8.0), (40.0, 20.0), (15.0, 60.0)];
 /// Requests of the usual size that each engine of a chain has room for when chains are counted.
-const ROOM_IN_CHAINS: f64 = 80.0;
-/// Most chains in a hall; only a guard, memory and the lengths of chains decide. At 8 the chains of a
-/// hall of 333 engines had 41 engines each, and engines refuse paths of more than 32 parts: 0.05 of the
-/// requests of two such halls were served.
+const CHAIN_ENGINE_REQUESTS: f64 = 80.0;
+/// Upper bound for the chains of a hall; only a guard, as memory and chain lengths decide. At 8 the
+/// chains of a hall of 333 engines had 41 engines each, and as engines refuse paths of more than 32
+/// parts, only 0.05 of the requests of two such halls were served.
 const MAX_CHAINS: usize = 256;
-/// Chains more that the memory must allow before another is begun, and the part of them below which
-/// one is given up: engines come and go.
-const CHAIN_MORE: f64 = 1.3;
-const CHAIN_LESS: f64 = 0.8;
-/// How many times slower the slowest engine of a hall must be than the quickest for chains to be dealt by pace. Where
-/// steps took 2.4, 5.3 and 16 times the usual, chains by pace earned 0.697 of all worth while engines fail and
-/// chains by memory 0.638; where they took 14, 15 and 16 times and load was beyond what engines can do, chains by
-/// pace earned -0.07 and 0.12 and chains by memory 0.09 and 0.16.
-const PACES_DIFFER: f64 = 2.0;
-/// Requests of the usual size that an engine has room for that holds its layers alone. A hall is to run
-/// so many at once; more room means fewer layers that are held twice. Share of all worth
-/// that was earned while engines, VMs and links failed, on three deployments: 0.527, 0.598, 0.632 at 85
-/// (45 in pairs), 0.582, 0.616, 0.642 at 110, 0.558, 0.580, 0.640 at 140 (75). With twice the requests
-/// that a hall is made for and no failures, 140 earns more: 0.710, and 0.598 at 110.
-const ROOM_ALONE: f64 = 110.0;
-/// Requests of the usual size that an engine has room for that shares its layers with another.
-const ROOM_PAIRED: f64 = 60.0;
-/// Requests of the usual size that an engine has room for that takes more layers in need. At 8 an
-/// engine refused for the rest of the day.
-const ROOM_AT_LEAST: f64 = 30.0;
-/// Requests at once that a hall is laid out for at least, also while fewer run.
-const LEAST_LOAD: f64 = 110.0;
-/// Engines that are moved at once without need: each load slows others beyond a few.
-const SPARES_AT_ONCE: usize = 3;
+/// Hysteresis, as engines come and go: number of additional chains that must fit before another
+/// chain is started.
+const CHAIN_GROW_MARGIN: f64 = 1.3;
+/// Share of the current chains that must still fit; below it a chain is dropped.
+const CHAIN_SHRINK_SHARE: f64 = 0.8;
+/// Ratio of the step factors of the slowest and fastest engine from which chains are formed by
+/// speed. Share of the total value earned while engines fail: with step factors of 2.4, 5.3 and 16,
+/// 0.697 by speed and 0.638 by memory; with 14, 15 and 16 and more load than the engines can
+/// handle, -0.07 and 0.12 by speed, 0.09 and 0.16 by memory.
+const MIXED_SPEED_RATIO: f64 = 2.0;
+/// Requests of the usual size that fit an engine that is the only holder of its layers. This is how
+/// many a hall can run at once; more room means fewer layers that are held twice.
+///
+/// Share of the total value earned while engines, VMs and links failed, on three deployments:
+/// 0.527, 0.598, 0.632 at 85 (45 in pairs); 0.582, 0.616, 0.642 at 110; 0.558, 0.580, 0.640 at 140
+/// (75 in pairs). At twice the planned load and without failures 140 earns more: 0.710, against
+/// 0.598 at 110.
+const SOLE_HOLDER_REQUESTS: f64 = 110.0;
+/// Requests of the usual size that fit an engine that shares its layers with another.
+const PAIRED_REQUESTS: f64 = 60.0;
+/// Requests of the usual size that must still fit an engine that takes additional layers in an
+/// emergency. At 8 such an engine refused requests for the rest of the day.
+const MIN_ENGINE_REQUESTS: f64 = 30.0;
+/// Concurrent requests for which a hall is planned at least.
+const MIN_HALL_REQUESTS: f64 = 110.0;
+/// Engines that may be moved at once without need: beyond a few, each load slows the others.
+const MAX_SPARE_MOVES: usize = 3;
 
-/// One engine as the placement knows it.
+/// One engine as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineView {
-    /// Engine.
+    /// Engine id.
     pub id: EndpointId,
     /// Accelerator kind.
     pub kind: AcceleratorKind,
-    /// Layers it serves.
+    /// Layers that it serves.
     pub serves: Option<LayerRange>,
-    /// Layers it was ordered to hold, while that may still come true.
+    /// Layers of an order that may still be carried out.
     pub ordered: Option<LayerRange>,
-    /// Whether it says that it is carrying out an order.
+    /// Whether it reports that it is carrying out an order.
     pub order_under_way: bool,
 }
 
-/// Layers that an engine is to hold.
+/// Layers that an engine should hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Engine.
+    /// Engine id.
     pub endpoint: EndpointId,
     /// Layers.
     pub layers: LayerRange,
-    /// When it gives up what it holds beside them.
+    /// When it releases the layers outside this range.
     pub give_up: GiveUp,
 }
 
-/// Which chain each engine of a service belongs to.
+/// Chain number of each engine of a service.
 pub type Chains = BTreeMap<EndpointId, ChainNumber>;
 
-/// What engines hold first: whole chains if there is memory for several, else pairs, if these are
-/// wanted. `None` if the layers do not fit.
+/// First placement: several whole chains if memory allows, else pairs if `in_pairs` is set. `None`
+/// if the layers do not fit.
 pub fn initial_targets(
     engines: &[EngineView],
     figures: &EngineFigures,
     chains: &mut Chains,
     in_pairs: bool,
 ) -> Option<Vec<Target>> {
-    let dealt = match paces_differ(engines, figures) {
-        true => deal_quick_first(engines, figures, chains),
-        false => deal(engines, figures, chains),
+    let assigned = match has_mixed_speeds(engines, figures) {
+        true => assign_chains_by_speed(engines, figures, chains),
+        false => assign_chains(engines, figures, chains),
     };
-    if dealt.len() > 1 || !in_pairs {
-        return chain_targets(&dealt, figures, GiveUp::AtOnce);
+    if assigned.len() > 1 || !in_pairs {
+        return chain_targets(&assigned, figures, GiveUp::AtOnce);
     }
     let members: Vec<PairMember> =
         engines.iter().filter_map(|engine| pair_member(engine, figures)).collect();
     let Some(placed) = place_in_pairs(&members, figures.layers) else {
-        return chain_targets(&dealt, figures, GiveUp::AtOnce);
+        return chain_targets(&assigned, figures, GiveUp::AtOnce);
     };
     let give_up = GiveUp::AtOnce;
     let targets = placed.into_iter().map(|(endpoint, layers)| Target { endpoint, layers, give_up });
     Some(targets.collect())
 }
 
-/// What has to move after engines were lost or came, in a hall that is to run `load` requests at once. Requests may still pass through what is given
-/// up: an engine that leaves ends its own, and running requests are moved around one that is lost.
-/// `None` if the layers do not fit.
+/// Moves needed after engines were lost or added, in a hall that should run `load` requests at
+/// once. `None` if the layers do not fit.
+///
+/// Requests may still pass through released layers: an engine that releases layers finishes its
+/// requests first, and running requests are moved around a lost engine.
 pub fn repair_targets(
     engines: &[EngineView],
     figures: &EngineFigures,
@@ -110,7 +119,9 @@
 ) -> Option<Vec<Target>> {
     let members: Vec<RepairMember> =
         engines.iter().filter_map(|engine| repair_member(engine, figures)).collect();
-    if let Some(moves) = repair(&members, figures.layers, load.max(LEAST_LOAD), SPARES_AT_ONCE) {
+    if let Some(moves) =
+        repair(&members, figures.layers, load.max(MIN_HALL_REQUESTS), MAX_SPARE_MOVES)
+    {
         let targets = moves.into_iter().map(|moved| Target {
             endpoint: moved.endpoint,
             layers: moved.layers,
@@ -119,14 +130,14 @@
         return Some(targets.collect());
     }
     if members.iter().any(|member| member.is_busy) {
-        // What is under way may mend it.
+        // Moves under way may already repair it.
         return Some(Vec::new());
     }
-    let dealt = deal(engines, figures, chains);
-    chain_targets(&dealt, figures, GiveUp::WhenUnused)
+    let assigned = assign_chains(engines, figures, chains);
+    chain_targets(&assigned, figures, GiveUp::WhenUnused)
 }
 
-/// Whole chains, each planned on its own; `None` if none of them fits.
+/// Plans each chain on its own; `None` if none of them fits.
 fn chain_targets(
     chains: &[Vec<&EngineView>],
     figures: &EngineFigures,
@@ -151,8 +162,8 @@
     plan(&runners, figures.layers, WEIGHTS)
 }
 
-/// Deals engines to as many chains as hold the model with room for KV cache.
-fn deal<'a>(
+/// Distributes engines over as many chains as hold the model with room for KV cache.
+fn assign_chains<'a>(
     engines: &'a [EngineView],
     figures: &EngineFigures,
     chains: &mut Chains,
@@ -167,30 +178,30 @@
         })
         .collect();
     *chains = deal_chains(&members, count, chains);
-    let mut dealt: Vec<Vec<&EngineView>> = vec![Vec::new(); count];
+    let mut assigned: Vec<Vec<&EngineView>> = vec![Vec::new(); count];
     for engine in engines {
-        dealt[chains[&engine.id]].push(engine);
+        assigned[chains[&engine.id]].push(engine);
     }
-    dealt
+    assigned
 }
 
-/// Whether some engines are so much slower than others that chains of like pace are worth more than chains of
-/// like memory.
-fn paces_differ(engines: &[EngineView], figures: &EngineFigures) -> bool {
+/// Whether engines differ so much in speed that chains of similar speed earn more than chains of
+/// similar memory.
+fn has_mixed_speeds(engines: &[EngineView], figures: &EngineFigures) -> bool {
     let kinds = engines.iter().filter_map(|engine| figures.accelerator(&engine.kind));
     let paces = kinds.map(|kind| kind.step_factor);
-    let (quickest, slowest) =
+    let (fastest, slowest) =
         paces.fold((f64::INFINITY, 0.0_f64), |(low, high), pace| (low.min(pace), high.max(pace)));
-    slowest >= quickest * PACES_DIFFER
+    slowest >= fastest * MIXED_SPEED_RATIO
 }
 
-/// Deals engines that hold nothing to chains of like pace.
-fn deal_quick_first<'a>(
+/// Distributes engines without layers over chains of similar speed.
+fn assign_chains_by_speed<'a>(
     engines: &'a [EngineView],
     figures: &EngineFigures,
     chains: &mut Chains,
 ) -> Vec<Vec<&'a EngineView>> {
-    let tokens = usual_tokens(figures) * ROOM_IN_CHAINS;
+    let tokens = usual_tokens(figures) * CHAIN_ENGINE_REQUESTS;
     let members: Vec<PacedMember> = engines
         .iter()
         .filter_map(|engine| {
@@ -201,13 +212,13 @@
         .collect();
     *chains = deal_by_pace(&members, figures.layers);
     let count = chains.values().max().map_or(1, |most| most + 1);
-    let mut dealt: Vec<Vec<&EngineView>> = vec![Vec::new(); count];
+    let mut assigned: Vec<Vec<&EngineView>> = vec![Vec::new(); count];
     for engine in engines {
         if let Some(chain) = chains.get(&engine.id) {
-            dealt[*chain].push(engine);
+            assigned[*chain].push(engine);
         }
     }
-    dealt
+    assigned
 }
 
 fn chain_count(engines: &[EngineView], figures: &EngineFigures, chains: &Chains) -> usize {
@@ -215,14 +226,15 @@
         .iter()
         .filter_map(|engine| figures.accelerator(&engine.kind))
         .map(|kind| {
-            let tokens = usual_tokens(figures) * ROOM_IN_CHAINS;
+            let tokens = usual_tokens(figures) * CHAIN_ENGINE_REQUESTS;
             u32::from(layers_that_fit(&memory_shape(figures, kind), tokens))
         })
         .sum();
     let possible = f64::from(fits) / f64::from(figures.layers.max(1));
     let wanted = (possible.floor() as usize).clamp(1, MAX_CHAINS);
     let before = chains.values().max().map_or(0, |most| most + 1);
-    let stays = possible < before as f64 + CHAIN_MORE && possible >= before as f64 * CHAIN_LESS;
+    let stays = possible < before as f64 + CHAIN_GROW_MARGIN
+        && possible >= before as f64 * CHAIN_SHRINK_SHARE;
     if before > 0 && stays { before } else { wanted }
 }
 
@@ -233,8 +245,8 @@
     Some(PairMember {
         endpoint: engine.id.clone(),
         kind: kind.kind.clone(),
-        alone: layers_that_fit(&shape, usual * ROOM_ALONE),
-        paired: layers_that_fit(&shape, usual * ROOM_PAIRED),
+        alone: layers_that_fit(&shape, usual * SOLE_HOLDER_REQUESTS),
+        paired: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
     })
 }
 
@@ -245,8 +257,8 @@
     let is_changing = engine.ordered.is_some() && engine.ordered != engine.serves;
     Some(RepairMember {
         endpoint: engine.id.clone(),
-        comfortable: layers_that_fit(&shape, usual * ROOM_PAIRED),
-        most: layers_that_fit(&shape, usual * ROOM_AT_LEAST),
+        comfortable: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
+        most: layers_that_fit(&shape, usual * MIN_ENGINE_REQUESTS),
         pace: kind.step_factor,
         rooms: rooms(&shape, usual),
         held: engine.ordered.or(engine.serves),
@@ -254,7 +266,7 @@
     })
 }
 
-/// Requests of the usual size for which there is room beside 0, 1, 2 ... layers.
+/// Requests of the usual size that fit beside 0, 1, 2 ... layers.
 fn rooms(shape: &MemoryShape, usual_tokens: f64) -> Vec<f64> {
     let most = layers_that_fit(shape, 0.0);
     (0..=most).map(|held| tokens_that_fit(shape, held) / usual_tokens.max(1.0)).collect()
@@ -273,10 +285,10 @@
     })
 }
 
-/// Cost of the room that is left for KV cache beside so many layers.
+/// Cost of the KV cache that is left beside `held` layers.
 fn room_cost(shape: &MemoryShape, held: u16, figures: &EngineFigures) -> f64 {
     let requests = tokens_that_fit(shape, held) / usual_tokens(figures).max(1.0);
-    let costs = ROOM_COSTS.iter().filter(|(least, _)| held > 0 && requests < *least);
+    let costs = KV_ROOM_COSTS.iter().filter(|(least, _)| held > 0 && requests < *least);
     costs.map(|(_, cost)| cost).sum()
 }
 
--- a/crates/sillbank_gateway/src/platform_view.rs
+++ b/crates/sillbank_gateway/src/platform_view.rs
@@ -1,4 +1,4 @@
-//! What the VM believes of the platform, and since when.
+//! This VM's view of the platform, and how old it is.
 
 use crate::freshness::{RESTORE_SETTLE_TIME, catalog_lease_term};
 use crate::revision::{Era, Revision};
@@ -14,15 +14,15 @@
 use std::task::{Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// Adds a waker to those to be woken, once for each task: tasks that wait again and again before anything
-/// happens would else fill the list.
-pub(crate) fn wait_in(waiting: &mut Vec<Waker>, waker: &Waker) {
-    if !waiting.iter().any(|known| known.will_wake(waker)) {
-        waiting.push(waker.clone());
+/// Registers a waker unless its task is registered already: tasks that wait repeatedly before
+/// anything happens would otherwise fill the list.
+pub(crate) fn register_waker(wakers: &mut Vec<Waker>, waker: &Waker) {
+    if !wakers.iter().any(|known| known.will_wake(waker)) {
+        wakers.push(waker.clone());
     }
 }
 
-/// Age and version of what a decision was made from.
+/// Version and age of the view from which a decision was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewStamp {
     /// Version of the configuration.
@@ -37,56 +37,56 @@
 #[derive(Debug)]
 pub struct PlatformView {
     catalog: RefCell<Option<Rc<Catalog>>>,
-    lease: RefCell<KnowledgeLease>,
+    catalog_lease: RefCell<KnowledgeLease>,
     directory: RefCell<Directory>,
     catalog_at: Cell<Revision>,
-    /// The newest era of the store that was heard of.
+    /// Newest known era of the store.
     era: Cell<Option<Era>>,
-    /// When a restore of the store from a copy was last noticed.
+    /// When a restore of the store from a backup was last detected.
     restored_at: Cell<Option<Instant>>,
     endpoints_at: Cell<Revision>,
-    generation: Cell<u64>,
-    /// Halls of the endpoints as of a generation.
+    change_count: Cell<u64>,
+    /// Halls of the endpoints, with the change count at which they were computed.
     halls: RefCell<(u64, Rc<BTreeSet<HallId>>)>,
-    confirmations: Cell<u64>,
-    parts: RefCell<Option<Rc<CatalogParts>>>,
-    waiting: RefCell<Vec<Waker>>,
-    waiting_for_confirmation: RefCell<Vec<Waker>>,
+    confirmation_count: Cell<u64>,
+    catalog_parts: RefCell<Option<Rc<CatalogParts>>>,
+    wakers: RefCell<Vec<Waker>>,
+    confirmation_wakers: RefCell<Vec<Waker>>,
     /// How often the store was found to be back or restored.
-    store_returns: Cell<u64>,
-    waiting_for_store: RefCell<Vec<Waker>>,
+    store_recoveries: Cell<u64>,
+    store_wakers: RefCell<Vec<Waker>>,
     suspension: RefCell<SuspensionWatch>,
-    /// When the machine was last found to have been suspended.
-    woken_at: Cell<Option<Instant>>,
+    /// When a suspension of the machine was last detected.
+    resumed_at: Cell<Option<Instant>>,
 }
 
 impl PlatformView {
-    /// Knows nothing. A key that was taken away is accepted for `key_revocation` at most.
+    /// Creates an empty view. A revoked key is accepted for at most `key_revocation`.
     pub fn new(key_revocation: Duration) -> Self {
         Self {
             catalog: RefCell::default(),
-            lease: RefCell::new(KnowledgeLease::new(catalog_lease_term(key_revocation))),
+            catalog_lease: RefCell::new(KnowledgeLease::new(catalog_lease_term(key_revocation))),
             directory: RefCell::default(),
             catalog_at: Cell::new(Revision::NONE),
             era: Cell::new(None),
             restored_at: Cell::new(None),
             endpoints_at: Cell::new(Revision::NONE),
-            generation: Cell::new(0),
+            change_count: Cell::new(0),
             halls: RefCell::default(),
-            confirmations: Cell::new(0),
-            parts: RefCell::default(),
-            waiting: RefCell::default(),
-            waiting_for_confirmation: RefCell::default(),
-            store_returns: Cell::new(0),
-            waiting_for_store: RefCell::default(),
+            confirmation_count: Cell::new(0),
+            catalog_parts: RefCell::default(),
+            wakers: RefCell::default(),
+            confirmation_wakers: RefCell::default(),
+            store_recoveries: Cell::new(0),
+            store_wakers: RefCell::default(),
             suspension: RefCell::new(SuspensionWatch::new(read_clocks())),
-            woken_at: Cell::new(None),
+            resumed_at: Cell::new(None),
         }
     }
 
     /// Changes the time within which the revocation of a key must be in force.
     pub fn set_key_revocation(&self, key_revocation: Duration) {
-        self.lease.borrow_mut().set_term(catalog_lease_term(key_revocation));
+        self.catalog_lease.borrow_mut().set_term(catalog_lease_term(key_revocation));
     }
 
     /// The configuration in force.
@@ -94,46 +94,47 @@
         self.catalog.borrow().clone()
     }
 
-    /// What the configuration in force was made of, for other VMs.
+    /// The parts of the configuration in force, for other VMs.
     pub fn catalog_parts(&self) -> Option<Rc<CatalogParts>> {
-        self.parts.borrow().clone()
+        self.catalog_parts.borrow().clone()
     }
 
-    /// Takes a configuration unless a newer one is in force; answers whether it was taken. `parts`
-    /// are what it was made of.
+    /// Applies a configuration, built from `parts`, unless a newer one is in force. Returns whether
+    /// it was applied.
     pub fn offer_catalog(&self, catalog: Catalog, parts: CatalogParts) -> bool {
         let mut known = self.catalog.borrow_mut();
         if known.as_ref().is_some_and(|known| known.version() >= catalog.version()) {
             return false;
         }
         *known = Some(Rc::new(catalog));
-        *self.parts.borrow_mut() = Some(Rc::new(parts));
-        self.change();
+        *self.catalog_parts.borrow_mut() = Some(Rc::new(parts));
+        self.notify_change();
         true
     }
 
-    /// Notes that a call sent at this moment, by this VM or one that tells of it, confirmed the
-    /// configuration as of a revision. It also shows that the store was there.
+    /// Records that a call sent at `sent`, by this VM or one that reported it, confirmed the
+    /// configuration as of revision `at`. It also shows that the store was reachable.
     pub fn confirm_catalog(&self, sent: Instant, at: Revision) {
-        self.note_era(at);
-        self.confirmations.set(self.confirmations.get() + 1);
-        for waker in self.waiting_for_confirmation.take() {
+        self.check_era(at);
+        self.confirmation_count.set(self.confirmation_count.get() + 1);
+        for waker in self.confirmation_wakers.take() {
             waker.wake();
         }
         let was_fresh = self.is_fresh(Instant::now());
-        self.lease.borrow_mut().confirm(sent);
+        self.catalog_lease.borrow_mut().confirm(sent);
         self.directory.borrow_mut().on_store_seen(sent);
         if !was_fresh {
-            // Others that are told by this VM wait for it too.
-            self.change();
+            // VMs that follow this one wait for it too.
+            self.notify_change();
         }
         self.catalog_at.set(self.catalog_at.get().max(at));
     }
 
-    /// Notes that the store confirmed the configuration, as [`Self::confirm_catalog`], unless it was restored from a copy
-    /// so lately that the operator may not have written a newer configuration again.
+    /// Records a confirmation by the store itself, as [`Self::confirm_catalog`] does. It is ignored
+    /// shortly after a restore from a backup, as the operator may not have written the newest
+    /// configuration again yet.
     pub fn confirm_catalog_by_store(&self, confirmed: Instant, at: Revision) {
-        self.note_era(at);
+        self.check_era(at);
         let is_unsettled = |restored: Instant| confirmed < restored + RESTORE_SETTLE_TIME;
         if self.restored_at.get().is_some_and(is_unsettled) {
             self.directory.borrow_mut().on_store_seen(confirmed);
@@ -143,117 +144,120 @@
         self.confirm_catalog(confirmed, at);
     }
 
-    /// Notes a restore of the store from a copy. The first era that is heard of is none.
-    fn note_era(&self, at: Revision) {
+    /// Detects a restore of the store from a backup. The first known era is no restore.
+    fn check_era(&self, at: Revision) {
         let before = self.era.get();
         if before.is_some_and(|before| at.era > before) {
             self.restored_at.set(Some(Instant::now()));
-            self.wake_for_store();
+            self.wake_store_waiters();
         }
         self.era.set(before.max(Some(at.era)));
     }
 
-    /// Waits until the store is found to be back or restored. Calls that were sent before may never be answered.
-    pub async fn store_returned(&self) {
-        let seen = self.store_returns.get();
+    /// Waits until the store is found to be back or restored. Calls sent before may never be
+    /// answered.
+    pub async fn store_recovered(&self) {
+        let seen = self.store_recoveries.get();
         std::future::poll_fn(|context| {
-            if self.store_returns.get() != seen {
+            if self.store_recoveries.get() != seen {
                 return Poll::Ready(());
             }
-            wait_in(&mut self.waiting_for_store.borrow_mut(), context.waker());
+            register_waker(&mut self.store_wakers.borrow_mut(), context.waker());
             Poll::Pending
         })
         .await;
     }
 
-    fn wake_for_store(&self) {
-        self.store_returns.set(self.store_returns.get() + 1);
-        for waker in self.waiting_for_store.take() {
+    fn wake_store_waiters(&self) {
+        self.store_recoveries.set(self.store_recoveries.get() + 1);
+        for waker in self.store_wakers.take() {
             waker.wake();
         }
     }
 
-    /// Finds out whether the machine was suspended since this was last asked. The steady clock does not count
-    /// that time: a key that was taken away meanwhile was still accepted.
-    fn note_suspension(&self) {
+    /// Checks whether the machine was suspended since the last check. The monotonic clock does not
+    /// count that time, during which a revoked key may have stayed accepted.
+    fn check_suspension(&self) {
         let suspended = self.suspension.borrow_mut().on_reading(read_clocks());
         if let Some(suspended) = suspended {
             self.on_suspended(suspended, Instant::now());
         }
     }
 
-    /// The machine was suspended: what was confirmed is so much older than the steady clock says.
+    /// Records a suspension of the machine: confirmations are older by it than the monotonic clock
+    /// says.
     pub fn on_suspended(&self, suspended: Duration, now: Instant) {
-        self.lease.borrow_mut().on_suspended(suspended);
-        self.woken_at.set(Some(now));
+        self.catalog_lease.borrow_mut().on_suspended(suspended);
+        self.resumed_at.set(Some(now));
         tracing::warn!(
             suspended_ms = suspended.as_millis() as u64,
             "program: The machine was suspended."
         );
     }
 
-    /// Whether the machine was suspended after a moment. An answer to what was asked before says nothing of how
-    /// old it is.
+    /// Whether the machine was suspended after `moment`. The age of an answer to an earlier request
+    /// is then unknown.
     pub fn was_suspended_since(&self, moment: Instant) -> bool {
-        self.note_suspension();
-        self.woken_at.get().is_some_and(|woken_at| woken_at >= moment)
+        self.check_suspension();
+        self.resumed_at.get().is_some_and(|resumed_at| resumed_at >= moment)
     }
 
     /// When the configuration was last confirmed; `None` if it never was.
     pub fn catalog_confirmed(&self) -> Option<Instant> {
-        self.note_suspension();
-        self.lease.borrow().confirmed()
+        self.check_suspension();
+        self.catalog_lease.borrow().confirmed()
     }
 
-    /// Revision of the store up to which the configuration was confirmed; none if it never was.
+    /// Revision of the store as of which the configuration was confirmed; [`Revision::NONE`] if it
+    /// never was.
     pub fn catalog_at(&self) -> Revision {
         self.catalog_at.get()
     }
 
-    /// Whether the configuration is fresh enough to accept keys and to deny requests.
+    /// Whether the configuration is fresh enough to accept keys and to reject requests.
     pub fn is_fresh(&self, now: Instant) -> bool {
-        self.note_suspension();
-        self.catalog.borrow().is_some() && self.lease.borrow().holds(now)
+        self.check_suspension();
+        self.catalog.borrow().is_some() && self.catalog_lease.borrow().holds(now)
     }
 
-    /// Whether the list of endpoints was read at least once.
+    /// Whether a list of endpoints was received.
     pub fn knows_endpoints(&self) -> bool {
         self.endpoints_at.get() > Revision::NONE
     }
 
-    /// Takes a whole list of endpoints unless it is older than what is known; answers what became of each
-    /// that is missing in it.
+    /// Applies a complete list of endpoints unless it is older than the known one. Returns the
+    /// removal of each endpoint that is missing in it.
     pub fn apply_listing(
         &self,
         now: Instant,
         list: Snapshot<impl Into<Listing>>,
     ) -> Vec<(String, Removal)> {
         if list.at < self.endpoints_at.get() {
-            tracing::info!(at = %list.at, "endpoint: A list was late; newer entries are known.");
+            tracing::info!(at = %list.at, "endpoint: An outdated list was ignored.");
             return Vec::new();
         }
-        self.note_endpoints_era(now, list.at);
+        self.check_endpoints_era(now, list.at);
         self.endpoints_at.set(list.at);
-        self.change();
+        self.notify_change();
         self.directory.borrow_mut().on_listing(now, list.value)
     }
 
-    /// Lets the directory know of a restore of the store before what was read after it is taken.
-    fn note_endpoints_era(&self, now: Instant, at: Revision) {
-        self.note_era(at);
+    /// Announces a restore of the store to the directory before newer entries are applied.
+    fn check_endpoints_era(&self, now: Instant, at: Revision) {
+        self.check_era(at);
         let known = self.endpoints_at.get();
         if known == Revision::NONE || at.era <= known.era {
             return;
         }
         tracing::info!(%at, %known, "endpoint: Entries of the restored store are taken.");
-        // It was away until it was first heard of, by whichever call.
+        // The store was away until any call first revealed the restore.
         self.directory.borrow_mut().on_restored(self.restored_at.get().unwrap_or(now));
-        // A list that another VM tells may come in pieces: the restore is noted with the first.
+        // A list from another VM may come in pieces; the restore counts from the first.
         self.endpoints_at.set(Revision::new(at.era, 0));
     }
 
-    /// Takes a difference from a VM that follows the store, unless it is older than what is known or
-    /// `is_wanted` is false; answers the ids of the entries that went.
+    /// Applies a difference from a VM that follows the store, unless it is older than the known
+    /// entries or `is_wanted` is false. Returns the ids of removed entries.
     pub fn apply_difference(
         &self,
         replication: &mut Replication,
@@ -263,7 +267,7 @@
     ) -> Vec<EndpointId> {
         let now = Instant::now();
         if is_wanted {
-            self.note_endpoints_era(now, at);
+            self.check_endpoints_era(now, at);
         }
         let recency = match is_wanted && at >= self.endpoints_at.get() {
             true => Recency::Newer,
@@ -278,25 +282,25 @@
             self.endpoints_at.set(at);
         }
         if has_changed {
-            self.change();
+            self.notify_change();
         }
         gone
     }
 
-    /// Revision of the list of endpoints; none if none is known.
+    /// Revision of the list of endpoints; [`Revision::NONE`] if none is known.
     pub fn endpoints_at(&self) -> Revision {
         self.endpoints_at.get()
     }
 
-    /// Waits until configuration or endpoints change, or the configuration is confirmed after it could not
-    /// be relied on.
+    /// Waits until the configuration or the endpoints change, or a stale configuration is confirmed
+    /// again.
     pub async fn changed(&self) {
-        let seen = self.generation.get();
+        let seen = self.change_count.get();
         std::future::poll_fn(|context| {
-            if self.generation.get() != seen {
+            if self.change_count.get() != seen {
                 return Poll::Ready(());
             }
-            wait_in(&mut self.waiting.borrow_mut(), context.waker());
+            register_waker(&mut self.wakers.borrow_mut(), context.waker());
             Poll::Pending
         })
         .await;
@@ -304,23 +308,25 @@
 
     /// Waits until the configuration is confirmed.
     pub async fn confirmed(&self) {
-        let seen = self.confirmations.get();
+        let seen = self.confirmation_count.get();
         std::future::poll_fn(|context| {
-            if self.confirmations.get() != seen {
+            if self.confirmation_count.get() != seen {
                 return Poll::Ready(());
             }
-            wait_in(&mut self.waiting_for_confirmation.borrow_mut(), context.waker());
+            register_waker(&mut self.confirmation_wakers.borrow_mut(), context.waker());
             Poll::Pending
         })
         .await;
     }
 
-    /// Wakes those who wait for a change: what they wait for beside it is known now.
+    /// Wakes all tasks that wait for a change, after something else that they wait for has become
+    /// known.
     pub(crate) fn wake(&self) {
-        self.change();
+        self.notify_change();
     }
 
-    /// Takes changes of endpoints unless they are older than what is known; answers what each removal means.
+    /// Applies changes of endpoints unless they are older than the known entries. Returns the
+    /// removals.
     pub fn apply_changes(
         &self,
         now: Instant,
@@ -329,16 +335,16 @@
         if changes.at < self.endpoints_at.get() {
             tracing::info!(
                 at = %changes.at,
-                "endpoint: Changes were late; newer entries are known."
+                "endpoint: Outdated changes were ignored."
             );
             return Vec::new();
         }
-        self.note_endpoints_era(now, changes.at);
+        self.check_endpoints_era(now, changes.at);
         self.endpoints_at.set(changes.at);
         if changes.value.is_empty() {
             return Vec::new();
         }
-        self.change();
+        self.notify_change();
         let mut directory = self.directory.borrow_mut();
         let mut removals = Vec::new();
         for change in changes.value {
@@ -354,7 +360,7 @@
         removals
     }
 
-    /// An endpoint told of its life itself.
+    /// Records an incarnation that an endpoint itself reported.
     pub fn on_reported_incarnation(&self, id: &str, born_ms: BornMs) {
         let mut directory = self.directory.borrow_mut();
         let before = directory.newest_change();
@@ -362,48 +368,49 @@
         let has_changed = directory.newest_change() != before;
         drop(directory);
         if has_changed {
-            self.change();
+            self.notify_change();
         }
     }
 
-    /// Endpoints that were found to have started again since this was last asked.
+    /// Endpoints found to have restarted since the last call.
     pub fn take_renewed(&self) -> Vec<EndpointId> {
         self.directory.borrow_mut().take_renewed()
     }
 
-    /// Endpoints that a restored store listed again and that were held back since this was last asked.
+    /// Endpoints whose entries in a restored store were ignored since the last call.
     pub fn take_held_back(&self) -> Vec<EndpointId> {
         self.directory.borrow_mut().take_held_back()
     }
 
-    /// How often all endpoints were to be read again so far.
+    /// How often a full read of all endpoints has been requested.
     pub fn rereads(&self) -> u64 {
         self.directory.borrow().rereads()
     }
 
-    /// The store answered again.
+    /// Records that the store answers again.
     pub fn on_store_back(&self, now: Instant) {
         self.directory.borrow_mut().on_store_back(now);
-        self.wake_for_store();
+        self.wake_store_waiters();
     }
 
-    /// A call to the store that was sent at a moment was answered.
+    /// Records that the store answered a call sent at `sent`.
     pub fn on_call_answered(&self, sent: Instant) {
         self.directory.borrow_mut().on_call_answered(sent);
     }
 
-    /// A call to the store that was sent at a moment failed; answers whether that is trouble of the store. It is none if a
-    /// call that was sent later was answered, to this VM or another one.
+    /// Records that a call to the store sent at `sent` failed. Returns whether this counts as a
+    /// failure of the store; it does not if a call that was sent later was answered, to this VM or
+    /// another one.
     pub fn on_call_failed(&self, sent: Instant, now: Instant, trouble: StoreTrouble) -> bool {
         self.directory.borrow_mut().on_call_failed(sent, now, trouble)
     }
 
-    /// When the next lapsed entry is to be evicted; `None` if there is none or the store is away.
+    /// When the next lapsed entry is evicted; `None` if there is none or the store is unreachable.
     pub fn next_eviction(&self) -> Option<Instant> {
         self.directory.borrow().next_lapse_end()
     }
 
-    /// Ends the grace of lapsed entries; answers the ids of those that did not come back.
+    /// Evicts lapsed entries whose grace period is over and returns their ids.
     pub fn on_time(&self, now: Instant) -> Vec<String> {
         let mut directory = self.directory.borrow_mut();
         let before = directory.newest_change();
@@ -411,17 +418,17 @@
         let has_changed = directory.newest_change() != before;
         drop(directory);
         if has_changed {
-            self.change();
+            self.notify_change();
         }
         over
     }
 
-    /// Halls in which endpoints are listed whose service is configured. Entries that another writer left may
-    /// name any hall, and nobody serves there.
+    /// Halls of the listed endpoints whose service is configured. Stray entries may name any hall,
+    /// and nobody serves there.
     pub fn halls(&self) -> Rc<BTreeSet<HallId>> {
-        let generation = self.generation.get();
+        let change_count = self.change_count.get();
         let known = self.halls.borrow().clone();
-        if known.0 == generation {
+        if known.0 == change_count {
             return known.1;
         }
         let catalog = self.catalog.borrow();
@@ -431,28 +438,28 @@
         let directory = self.directory.borrow();
         let served = directory.iter().filter(is_served);
         let halls = Rc::new(served.map(|record| record.hall.clone()).collect());
-        *self.halls.borrow_mut() = (generation, Rc::clone(&halls));
+        *self.halls.borrow_mut() = (change_count, Rc::clone(&halls));
         halls
     }
 
-    /// Looks at the endpoints.
-    pub fn endpoints<T>(&self, look: impl FnOnce(&Directory) -> T) -> T {
-        look(&self.directory.borrow())
+    /// Reads the directory of endpoints.
+    pub fn endpoints<T>(&self, read: impl FnOnce(&Directory) -> T) -> T {
+        read(&self.directory.borrow())
     }
 
-    /// Age and version, for logs.
+    /// Version and age of the view, for logs.
     pub fn stamp(&self, now: Instant) -> ViewStamp {
-        self.note_suspension();
+        self.check_suspension();
         ViewStamp {
             catalog: self.catalog.borrow().as_ref().map(|catalog| catalog.version()),
-            catalog_age_ms: self.lease.borrow().age(now).map(|age| age.as_millis() as u64),
+            catalog_age_ms: self.catalog_lease.borrow().age(now).map(|age| age.as_millis() as u64),
             endpoints_at: self.endpoints_at.get(),
         }
     }
 
-    fn change(&self) {
-        self.generation.set(self.generation.get() + 1);
-        for waker in self.waiting.borrow_mut().drain(..) {
+    fn notify_change(&self) {
+        self.change_count.set(self.change_count.get() + 1);
+        for waker in self.wakers.borrow_mut().drain(..) {
             waker.wake();
         }
     }
--- a/crates/sillbank_gateway/src/plugins.rs
+++ b/crates/sillbank_gateway/src/plugins.rs
@@ -1,4 +1,4 @@
-//! The gateway's parts as plugins of one program.
+//! The parts of the gateway as plugins of one program.
 
 use crate::callers::CallerHandler;
 use crate::gateway::Gateway;
@@ -17,11 +17,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time that a caller's connection may rest until the first configuration says how long.
-const FIRST_IDLE_LIMIT: Duration = Duration::from_secs(20);
-/// Longest head until the first configuration says how long.
+/// Idle timeout of a caller's connection until the first configuration sets one.
+const INITIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Largest request head until the first configuration sets a limit.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Longest reply of an engine to a call beside requests.
+/// Largest reply of an engine to a report or an order.
 const MAX_ENGINE_REPLY_BYTES: usize = 1 << 20;
 
 /// Follows the store.
@@ -34,10 +34,10 @@
     }
 }
 
-/// Places layers.
+/// Assigns layers to engines.
 struct PlacementPlugin;
 
-/// Tells other VMs, and asks them.
+/// Exchanges updates with other VMs.
 struct FeedPlugin {
     listener: TcpListener,
 }
@@ -83,7 +83,7 @@
         let gateway = app.state();
         let settings = gateway.settings();
         let limits = ServerLimits {
-            head_timeout: FIRST_IDLE_LIMIT,
+            head_timeout: INITIAL_IDLE_TIMEOUT,
             max_head_bytes: MAX_HEAD_BYTES,
             max_connections: settings.max_caller_connections(),
         };
@@ -93,20 +93,20 @@
     }
 }
 
-/// Reloads settings and sweeps.
-struct UpkeepPlugin {
+/// Reloads settings and runs periodic tasks.
+struct MaintenancePlugin {
     reload: Signals,
     settings_path: PathBuf,
 }
 
-impl<W: Wire, S: MetadataStore> Plugin<Gateway<W, S>> for UpkeepPlugin {
+impl<W: Wire, S: MetadataStore> Plugin<Gateway<W, S>> for MaintenancePlugin {
     fn build(self, app: &App<Gateway<W, S>>) {
         app.spawn(lifecycle::reload(app.state(), self.reload, self.settings_path));
         app.spawn(lifecycle::sweep(app.state()));
         app.spawn(vm_limits::watch_limits(app.state()));
         app.spawn(doctor::probe_lost(app.state()));
-        app.spawn(quarantine::pass_time(app.state()));
-        app.spawn(pushback::pass_time(app.state()));
+        app.spawn(quarantine::run_expiry(app.state()));
+        app.spawn(pushback::run_expiry(app.state()));
         app.spawn(quarantine_store::follow_quarantine(app.state()));
         app.spawn(quarantine_store::write_quarantine(app.state()));
     }
@@ -115,7 +115,7 @@
 /// Runs a gateway until it is asked to stop.
 ///
 /// # Errors
-/// A listener or a signal that the operating system refused.
+/// If the operating system refuses a listener or a signal handler.
 pub async fn run<W: Wire, S: MetadataStore>(
     executor: Rc<LocalExecutor<'static>>,
     settings: GatewaySettings,
@@ -147,7 +147,7 @@
         .add_plugin(FeedPlugin { listener: peers })
         .add_plugin(OperatePlugin { ready, metrics })
         .add_plugin(CallersPlugin { listener: callers, stop: stopper.token() })
-        .add_plugin(UpkeepPlugin { reload: reload_signals, settings_path });
+        .add_plugin(MaintenancePlugin { reload: reload_signals, settings_path });
     lifecycle::stop(app.state(), stop_signals, stopper).await;
     Ok(())
 }
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -1,6 +1,7 @@
-//! Keeps what endpoints ask of VMs in their answers: hears it, withholds requests, tells other VMs.
+//! Push-back of endpoints: applies what they ask for in their answers, and reports it to other VMs.
 //!
-//! Whoever chooses an endpoint asks here first; [`crate::limit_parts`] divides limits among VMs.
+//! Every choice of an endpoint checks it here first; [`crate::limit_parts`] divides rate limits
+//! among VMs.
 
 use crate::gateway::Gateway;
 use crate::job::Job;
@@ -12,27 +13,29 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often what time alone changes is looked at, and how often a leader takes its own parts: well within their term.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which expiry is checked, and at which a leader takes its own parts, well within
+/// their term.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl<W: Wire, S> Gateway<W, S> {
-    fn keeps_pushback(&self) -> bool {
+    fn uses_pushback(&self) -> bool {
         self.settings.borrow().mechanisms.pushback
     }
 
-    /// An endpoint answered a request that was sent at a moment. One that has started again since asked for
-    /// its life before.
+    /// Applies the push-back in an endpoint's answer to a request sent at `sent_at`. It is ignored
+    /// if the endpoint has restarted since.
     pub fn on_pushback(&self, endpoint: &str, pushback: Pushback, sent_at: Instant) {
         let asks_nothing = pushback == Pushback::default() && self.pushback.borrow().is_empty();
         if asks_nothing
-            || !self.keeps_pushback()
+            || !self.uses_pushback()
             || self.endpoint_tracker.restarted_since(endpoint, sent_at)
         {
             return;
         }
-        let life = self.platform.endpoints(|directory| directory.newest_life(endpoint));
+        let incarnation = self.platform.endpoints(|directory| directory.newest_life(endpoint));
         let (draw, now) = (self.chance.fraction(), Instant::now());
-        let events = self.pushback.borrow_mut().on_answer(endpoint, life, pushback, draw, now);
+        let events =
+            self.pushback.borrow_mut().on_answer(endpoint, incarnation, pushback, draw, now);
         if !events.is_empty() {
             let events: Vec<_> =
                 events.into_iter().map(|event| (endpoint.to_owned(), event)).collect();
@@ -41,16 +44,16 @@
         }
     }
 
-    /// Another VM told what endpoints said of their limits. What an older life said holds no more.
+    /// Applies limits reported by another VM, except those of earlier incarnations.
     pub fn on_reported_limits(&self, limits: &[LimitNews], from: &'static str) {
-        if limits.is_empty() || !self.keeps_pushback() {
+        if limits.is_empty() || !self.uses_pushback() {
             return;
         }
-        let is_current = |told: &&LimitNews| {
+        let is_current = |reported: &&LimitNews| {
             self.platform.endpoints(|directory| {
-                let newest_life = directory.newest_life(&told.endpoint);
-                directory.get(&told.endpoint).is_some()
-                    && crate::restarts::may_be_current(told.born_ms, newest_life)
+                let newest_life = directory.newest_life(&reported.endpoint);
+                directory.get(&reported.endpoint).is_some()
+                    && crate::restarts::may_be_current(reported.born_ms, newest_life)
             })
         };
         let limits: Vec<LimitNews> = limits.iter().filter(is_current).cloned().collect();
@@ -59,13 +62,13 @@
         self.on_pushback_events(&events, from);
     }
 
-    /// A request is sent to an endpoint.
+    /// Counts a request sent to an endpoint against its limit.
     pub fn count_against_limit(&self, endpoint: &str) {
         self.pushback.borrow_mut().on_sent(endpoint, Instant::now());
     }
 
-    /// Logs and counts the endpoints that a request was not sent to as they asked for it; answers after what time the
-    /// first of them takes requests again, if that is known.
+    /// Logs and counts the endpoints that were not used for a request because of push-back. Returns
+    /// the time until the first of them accepts requests again, if known.
     pub fn record_withheld(&self, job: &Job) -> Option<Duration> {
         if self.pushback.borrow().is_empty() {
             return None;
@@ -79,8 +82,8 @@
         all.iter().filter_map(|withheld| withheld.reason.ends_in()).min()
     }
 
-    /// Brings the gauges of what endpoints ask up to date.
-    fn show_pushback(&self) {
+    /// Updates the gauges of push-back.
+    fn update_pushback_metrics(&self) {
         let pushback = self.pushback.borrow();
         let set = |kind: &'static str, endpoints: usize| {
             self.metrics.pushback.get_or_create(&KindLabel { kind }).set(endpoints as i64);
@@ -97,56 +100,57 @@
                     endpoint,
                     limit_per_s,
                     from,
-                    "pushback: An endpoint names a limit."
+                    "pushback: An endpoint set a rate limit."
                 ),
                 PushbackEvent::Unlimited => {
-                    tracing::info!(
-                        endpoint,
-                        from,
-                        "pushback: An endpoint names no limit any more."
-                    );
+                    tracing::info!(endpoint, from, "pushback: An endpoint removed its rate limit.");
                 }
                 PushbackEvent::Rests(rest) => {
                     let rest_ms = rest.as_millis() as u64;
-                    tracing::info!(endpoint, rest_ms, "pushback: An endpoint asks for rest.");
+                    tracing::info!(endpoint, rest_ms, "pushback: An endpoint asked for a pause.");
                 }
                 PushbackEvent::Leaves => {
-                    tracing::info!(endpoint, "pushback: An endpoint says that it leaves.");
+                    tracing::info!(endpoint, "pushback: An endpoint announced that it is leaving.");
                 }
                 PushbackEvent::Unreadable(what) => {
-                    let reason = "its value is no such number; it is passed over";
-                    tracing::warn!(endpoint, what, reason, "pushback: A wish cannot be read.");
+                    let reason = "the value is not a valid number and is ignored";
+                    tracing::warn!(
+                        endpoint,
+                        what,
+                        reason,
+                        "pushback: A header could not be parsed."
+                    );
                 }
                 PushbackEvent::Lapsed => {
-                    let reason = "no VM has heard it for long";
-                    tracing::info!(endpoint, reason, "pushback: A limit has lapsed.");
+                    let reason = "no VM has received it for a long time";
+                    tracing::info!(endpoint, reason, "pushback: A rate limit has expired.");
                 }
             }
         }
         if !events.is_empty() {
-            self.show_pushback();
+            self.update_pushback_metrics();
             self.hall.wake_followers();
         }
     }
 }
 
-/// Lets time pass for what endpoints asked, for as long as the program runs.
-pub async fn pass_time<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
-    let mut looked_at = Instant::now();
+/// Expires push-back while the program runs.
+pub async fn run_expiry<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
+    let mut checked_at = Instant::now();
     loop {
-        smol::Timer::after(LOOK).await;
-        if gateway.platform.was_suspended_since(looked_at) {
+        smol::Timer::after(CHECK_INTERVAL).await;
+        if gateway.platform.was_suspended_since(checked_at) {
             gateway.pushback.borrow_mut().on_suspended();
         }
         let now = Instant::now();
-        looked_at = now;
-        gateway.keep_divider(now);
+        checked_at = now;
+        gateway.update_divider(now);
         if gateway.pushback.borrow().is_empty() {
             continue;
         }
         let lapsed = gateway.pushback.borrow_mut().on_time(now);
         gateway.on_pushback_events(&lapsed, "time");
-        gateway.show_pushback();
+        gateway.update_pushback_metrics();
         gateway.take_own_parts(now);
     }
 }
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -1,8 +1,9 @@
-//! Holds back requests that end the endpoints that run them, with what all VMs know of them.
+//! Quarantine of requests that crash the endpoints that run them, shared by all VMs.
 //!
-//! Each VM decides by itself, by the ends that it saw and those that it was told of. VMs tell their leader with each
-//! ask, leaders tell the VMs of their hall and each other with each answer; the store keeps what is one end short
-//! of being held back, so that it outlasts all VMs and passes between halls that do not reach each other.
+//! Each VM decides by itself, by the crashes that it witnessed and those reported to it. VMs report
+//! to their leader with each feed request, leaders to the VMs of their hall and to each other with
+//! each reply. The store keeps entries that are one crash short of quarantine, so that they outlast
+//! all VMs and pass between halls that do not reach each other.
 
 use crate::decisions::describe_fingerprint;
 use crate::ends::BrokenSend;
@@ -15,11 +16,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often what time alone changes is looked at: part of the time in which VMs hear of a first end.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval at which expiry is checked: a fraction of the time in which VMs hear of a first crash.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<W: Wire, S> Gateway<W, S> {
-    /// An endpoint ended under a request. Its end is laid to those that were in their beginning there.
+    /// Records that an endpoint crashed while it ran a request. The crash counts against a request
+    /// that had just started there.
     pub fn on_ended_under(&self, job: &Job, send: &BrokenSend) {
         let is_beginning = send.ran_for().is_none_or(|ran| ran < BEGINNING);
         self.decisions.ended_under(job, send, is_beginning);
@@ -27,21 +29,22 @@
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
-        let (fingerprint, life) = (job.fingerprint(), self.life_name(&send.endpoint));
-        let events = quarantine.on_end(fingerprint, &life, send.sent_at, send.broke_at);
+        let (fingerprint, incarnation) = (job.fingerprint(), self.incarnation_name(&send.endpoint));
+        let events = quarantine.on_end(fingerprint, &incarnation, send.sent_at, send.broke_at);
         drop(quarantine);
         self.on_quarantine_events(&events);
     }
 
-    /// Names the life of an endpoint, where it tells when it began.
-    fn life_name(&self, endpoint: &str) -> String {
+    /// Name of an endpoint's incarnation, as far as its start is known.
+    fn incarnation_name(&self, endpoint: &str) -> String {
         match self.platform.endpoints(|directory| directory.newest_life(endpoint)) {
             Some(born_ms) => format!("{endpoint}@{born_ms}"),
             None => endpoint.to_owned(),
         }
     }
 
-    /// A request ran to its end, or beyond its beginning.
+    /// Records that a request was completed, or ran for longer than the time in which crashes count
+    /// against it.
     pub fn on_request_survived(&self, job: &Job) {
         if self.quarantine.borrow().is_empty() {
             return;
@@ -52,7 +55,7 @@
         self.on_quarantine_events(&events);
     }
 
-    /// How much longer a request is held back; `None` if it is not.
+    /// Time left of a request's quarantine; `None` if it is not quarantined.
     pub fn quarantined_for(&self, job: &Job) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() || !self.settings.borrow().mechanisms.quarantine {
@@ -61,7 +64,8 @@
         quarantine.held_for(job.fingerprint(), Instant::now())
     }
 
-    /// How much longer a request is kept apart from others: if it is what ends endpoints, it would leave none for anybody.
+    /// Time for which a request stays isolated: if it is the cause of crashes, it must not take the
+    /// last endpoint from others.
     pub fn isolated_for(&self, job: &Job) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() || !self.settings.borrow().mechanisms.quarantine {
@@ -70,7 +74,8 @@
         quarantine.kept_apart_for(job.fingerprint(), Instant::now())
     }
 
-    /// Refuses a request that is held back: it was not run, and its caller may come back when the term is over.
+    /// Refuses a quarantined request: it was not run, and its caller may retry after the
+    /// quarantine.
     pub fn refuse_quarantined(&self, job: &Job) -> Option<Failure> {
         let left = self.quarantined_for(job)?;
         let ends = self.quarantine.borrow().ends(job.fingerprint());
@@ -80,14 +85,14 @@
         Some(Failure::before_work(FailureKind::Quarantined, reason).retry_after(left))
     }
 
-    /// A leader told of such requests, or the store was read.
+    /// Records that the quarantine list was received from a leader or read from the store.
     pub(crate) fn on_quarantine_loaded(&self) {
         if !self.quarantine_is_loaded.replace(true) {
             self.platform.wake();
         }
     }
 
-    /// Takes what a VM tells of requests under which endpoints ended.
+    /// Applies crashes reported by another VM.
     pub fn on_reported_suspects(&self, suspects: &[SuspectNews], teller: Teller) {
         if suspects.is_empty() {
             return;
@@ -96,7 +101,7 @@
         self.on_quarantine_events(&events);
     }
 
-    /// Logs and counts changes, and lets those that ask this VM hear of what is urgent.
+    /// Logs and counts changes, and wakes followers for urgent ones.
     pub(crate) fn on_quarantine_events(&self, events: &[QuarantineEvent]) {
         for event in events {
             match event {
@@ -104,11 +109,11 @@
                     fingerprint = describe_fingerprint(*fingerprint),
                     endpoints = endpoints.join(","),
                     term_s = term.as_secs(),
-                    "quarantine: A request is held back, endpoints ended under it."
+                    "quarantine: A request is quarantined, as endpoints crashed while running it."
                 ),
                 QuarantineEvent::Ended { fingerprint } => tracing::info!(
                     fingerprint = describe_fingerprint(*fingerprint),
-                    "quarantine: A request is let in again."
+                    "quarantine: The quarantine of a request has ended."
                 ),
             }
         }
@@ -124,10 +129,10 @@
     }
 }
 
-/// Lets time pass for requests that are suspected or held back, for as long as the program runs.
-pub async fn pass_time<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
+/// Expires suspicion and quarantine while the program runs.
+pub async fn run_expiry<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
-        smol::Timer::after(LOOK).await;
+        smol::Timer::after(CHECK_INTERVAL).await;
         if gateway.quarantine.borrow().is_empty() {
             continue;
         }
--- a/crates/sillbank_gateway/src/quarantine_store.rs
+++ b/crates/sillbank_gateway/src/quarantine_store.rs
@@ -1,7 +1,8 @@
-//! Follows and writes what the store keeps of requests that end their endpoints.
+//! Follows and writes the quarantine list in the store.
 //!
-//! It is one object: few requests are ever kept, and one call reads all. Whoever follows the endpoints in the store
-//! for a hall follows it too. A leader writes what its VMs saw, a VM without a leader what it saw itself.
+//! It is a single object, as few requests are ever listed and one call reads all. Whoever follows
+//! the endpoints in the store for a hall follows it too. A leader writes what its VMs witnessed, a
+//! VM without a leader what it witnessed itself.
 
 use crate::freshness::SOURCE_CHECK_INTERVAL;
 use crate::gateway::Gateway;
@@ -15,22 +16,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long a watch waits. Changes are rare and end it at once; each return is a priced call.
+/// Wait of a watch. Changes are rare and end it at once; each return is a billed call.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// Pause between looks whether there is something to write.
-const LOOK: Duration = Duration::from_millis(200);
-/// First pause after a call that failed, and between two writes.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause after calls that failed.
-const PAUSE_MAX: Duration = Duration::from_secs(4);
+/// Interval at which pending writes are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// First pause after a failed call, and the pause between two writes.
+const MIN_PAUSE: Duration = Duration::from_millis(500);
+/// Longest pause after failed calls.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// Follows the store's object for as long as the program runs.
+/// Follows the stored list while the program runs.
 pub async fn follow_quarantine<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     let mut since: Option<Revision> = None;
-    let mut pause = PAUSE;
+    let mut pause = MIN_PAUSE;
     loop {
-        if relies_on_leader(WatchKind::Endpoints, crate::follow::source_view(&gateway)) {
-            // What passes meanwhile is told; the first call after it reads everything.
+        if relies_on_leader(WatchKind::Endpoints, crate::follow::source_state(&gateway)) {
+            // The leader reports changes meanwhile; the first call afterwards reads everything.
             since = None;
             smol::Timer::after(SOURCE_CHECK_INTERVAL).await;
             continue;
@@ -41,51 +42,52 @@
         };
         match read {
             Ok(read) => {
-                pause = PAUSE;
+                pause = MIN_PAUSE;
                 match since.replace(read.at) {
-                    None => take_whole(&gateway, &read),
-                    Some(_) => take(&gateway, &read),
+                    None => apply_snapshot(&gateway, &read),
+                    Some(_) => apply_change(&gateway, &read),
                 }
             }
             Err(error) => {
                 since = None;
-                note_error(&gateway, &error);
+                record_error(&gateway, &error);
                 smol::Timer::after(pause).await;
-                pause = (2 * pause).min(PAUSE_MAX);
+                pause = (2 * pause).min(MAX_PAUSE);
             }
         }
     }
 }
 
-/// Writes what the store lacks for as long as the program runs.
+/// Writes what the stored list lacks while the program runs.
 pub async fn write_quarantine<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
-    let mut pause = PAUSE;
+    let mut pause = MIN_PAUSE;
     loop {
-        smol::Timer::after(LOOK).await;
+        smol::Timer::after(CHECK_INTERVAL).await;
         let is_due = gateway.quarantine.borrow().due_record(Instant::now(), unix_ms()).is_some();
         if !is_due || !is_writer(&gateway) {
             continue;
         }
         pause = match write_once(&gateway).await {
-            Ok(()) => PAUSE,
+            Ok(()) => MIN_PAUSE,
             Err(error) => {
-                note_error(&gateway, &error);
-                (2 * pause).min(PAUSE_MAX)
+                record_error(&gateway, &error);
+                (2 * pause).min(MAX_PAUSE)
             }
         };
         smol::Timer::after(pause).await;
     }
 }
 
-/// Whether this VM writes for its hall: it leads, or nobody does.
+/// Whether this VM writes for its hall: it leads, or no VM does.
 fn is_writer<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) -> bool {
     gateway.hall.acting_fence.get().is_some() || !gateway.hall.leader_is_live(Instant::now())
 }
 
-/// Reads the object, adds what it lacks and writes it, unless another VM did so in between: then it is due again.
+/// Reads the object, merges what it lacks and writes it. If another VM wrote in between, the write
+/// is due again.
 async fn write_once<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) -> Result<(), StoreError> {
     let read = gateway.store.read_quarantine().await?;
-    take_whole(gateway, &read);
+    apply_snapshot(gateway, &read);
     let now_unix_ms = unix_ms();
     let due = gateway.quarantine.borrow().due_record(Instant::now(), now_unix_ms);
     let Some(record) = due else {
@@ -95,12 +97,12 @@
     let end = gateway.store.write_quarantine(expected, &record).await;
     if let WriteEnd::Written(at) = end {
         gateway.quarantine.borrow_mut().on_written(&record, now_unix_ms);
-        tracing::info!(requests = record.suspects.len(), %at, "quarantine: Written to the store.");
+        tracing::info!(requests = record.suspects.len(), %at, "quarantine: The list was written to the store.");
     }
     Ok(())
 }
 
-fn take<W: Wire, S: MetadataStore>(
+fn apply_change<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     read: &Snapshot<Option<QuarantineObject>>,
 ) {
@@ -112,24 +114,25 @@
     gateway.on_quarantine_events(&events);
 }
 
-/// Takes what a read of everything found. A restored store may have lost the object: what it held is written again then.
-fn take_whole<W: Wire, S: MetadataStore>(
+/// Applies a full read. A restored store may have lost the object, whose content is then written
+/// again.
+fn apply_snapshot<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     read: &Snapshot<Option<QuarantineObject>>,
 ) {
     if read.value.is_none() {
-        let nothing = QuarantineRecord::default();
-        gateway.quarantine.borrow_mut().on_stored(&nothing, Instant::now(), unix_ms());
+        let empty = QuarantineRecord::default();
+        gateway.quarantine.borrow_mut().on_stored(&empty, Instant::now(), unix_ms());
     }
-    take(gateway, read);
+    apply_change(gateway, read);
 }
 
-fn note_error<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, error: &StoreError) {
+fn record_error<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, error: &StoreError) {
     gateway.metrics.store_errors.get_or_create(&KindLabel { kind: "quarantine" }).inc();
-    tracing::debug!(%error, "quarantine: The store was not read or written.");
+    tracing::debug!(%error, "quarantine: The list could not be read from or written to the store.");
 }
 
-/// Time of day. A clock before 1970 counts as that year: ages are then told as none.
+/// Unix time in milliseconds. A clock before 1970 counts as 0, so that ages are reported as 0.
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/sillbank_gateway/src/restarts.rs
+++ b/crates/sillbank_gateway/src/restarts.rs
@@ -1,8 +1,8 @@
-//! Endpoints that start again under their id: all that this VM keeps of the life before ends.
+//! Endpoints that restart under the same id: discards what this VM keeps of earlier incarnations.
 //!
-//! The directory decides which life is the newest one, by entries and by the endpoints' own reports. Whatever
-//! else is kept of an endpoint is cleared here when it starts again. What was begun before ends by itself, and
-//! how it ended says nothing of the new life.
+//! The directory decides which incarnation is the newest, by entries and by the endpoints' own
+//! reports. Everything else kept of an endpoint is discarded here when it restarts. Exchanges begun
+//! before end by themselves, and their outcome says nothing about the new incarnation.
 
 use crate::channels::Channel;
 use crate::feed::HallReport;
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 impl<W: Wire, S> Gateway<W, S> {
-    /// An endpoint told of its life itself.
+    /// Records an incarnation that an endpoint itself reported.
     pub fn on_reported_incarnation(&self, endpoint: &str, born_ms: Option<BornMs>) {
         if let Some(born_ms) = born_ms {
             self.platform.on_reported_incarnation(endpoint, born_ms);
@@ -21,9 +21,9 @@
         }
     }
 
-    /// Takes the lives that a board tells of.
-    pub fn on_reported_incarnations(&self, board: &HallReport) {
-        for engine in &board.engines {
+    /// Records the incarnations listed in a hall report.
+    pub fn on_reported_incarnations(&self, report: &HallReport) {
+        for engine in &report.engines {
             if let Some(born_ms) = engine.born_ms {
                 self.platform.on_reported_incarnation(&engine.id, born_ms);
             }
@@ -31,7 +31,7 @@
         self.reset_restarted_endpoints();
     }
 
-    /// Ends what is kept of the older lives of endpoints that have started again.
+    /// Discards what is kept of earlier incarnations of restarted endpoints.
     pub fn reset_restarted_endpoints(&self) {
         let now = Instant::now();
         for id in self.platform.take_renewed() {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Keeps a connection after a whole answer, unless the endpoint has started again since it was opened.
+    /// Returns a connection to the pool after a whole answer, unless the endpoint has restarted
+    /// since it was opened.
     pub fn keep_channel(&self, endpoint: &str, channel: Channel, reply: &HeaderMap) {
         if !self.endpoint_tracker.restarted_since(endpoint, channel.opened_at) {
             self.channels.give_back(endpoint, channel, reply, Instant::now());
@@ -55,7 +56,7 @@
     }
 }
 
-/// Whether what was told of one life of an endpoint may hold of its newest one.
-pub fn may_be_current(told: Option<BornMs>, newest: Option<BornMs>) -> bool {
-    compare_lives(told, newest) != LifeOrder::Older
+/// Whether a report on incarnation `reported` may apply to the newest one.
+pub fn may_be_current(reported: Option<BornMs>, newest: Option<BornMs>) -> bool {
+    compare_lives(reported, newest) != LifeOrder::Older
 }
--- a/crates/sillbank_gateway/src/revision.rs
+++ b/crates/sillbank_gateway/src/revision.rs
@@ -1,28 +1,29 @@
-//! Revisions of the store, in an order that holds across restores of the store from a copy.
+//! Revisions of the store, ordered across restores of the store from a backup.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Number of the store's history; it rises each time the store is restored from a copy. 0 if the store names none.
+/// Number of the store's history. It rises with each restore from a backup; 0 if the store has
+/// none.
 pub type Era = u64;
 
-/// State of the store: each change raises the number, each restore from a copy the era. A restored store gives
-/// numbers out again, so a number alone says nothing of another era.
+/// State of the store. Each change increments the number and each restore from a backup the era. A
+/// restored store reuses numbers, so a number is only meaningful within its era.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
     /// Era.
     pub era: Era,
-    /// The store's counter within the era.
+    /// Change counter of the store within the era.
     pub number: u64,
 }
 
 impl Revision {
-    /// Before the store's first change.
+    /// Precedes the first change of the store.
     pub const NONE: Self = Self { era: 0, number: 0 };
 
-    /// A state of the store in an era.
+    /// Creates a revision from an era and a number.
     pub fn new(era: Era, number: u64) -> Self {
         Self { era, number }
     }
--- a/crates/sillbank_gateway/src/store.rs
+++ b/crates/sillbank_gateway/src/store.rs
@@ -8,48 +8,48 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// What was read, and the revision as of which it holds.
+/// A value and the revision as of which it holds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Snapshot<T> {
     /// Revision.
     pub at: Revision,
-    /// What was read.
+    /// Value.
     pub value: T,
 }
 
-/// Why the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// No byte of the call left.
+    /// Nothing of the call was sent.
     #[error("the store was not reached ({0}); it will be tried again")]
     Unreached(String),
-    /// The call may have had its effect.
+    /// The call may have taken effect.
     #[error("the store's answer was lost ({0}); read back what it did")]
     Lost(String),
-    /// The store did nothing and said so.
+    /// The store refused the call without any effect.
     #[error("the store refused with status {0}; it will be tried again")]
     Refused(u16),
-    /// The revision to go on from is too old.
+    /// The revision to continue from is too old.
     #[error("the store's history does not reach back; read everything again")]
     HistoryGone,
-    /// The store was restored from a copy; what was read before belongs to another history.
+    /// The store was restored from a backup; earlier reads belong to another history.
     #[error("the store was restored from a copy; read everything again")]
     Restored,
-    /// The answer cannot be read.
+    /// The answer cannot be parsed.
     #[error("the store's answer cannot be read ({0}); check the platform's version")]
     Unreadable(String),
 }
 
-/// Status of a refusal for the rate of calls. A store that is away answers 503 or nothing.
+/// Status of a rate-limited call. A store that is down answers 503 or not at all.
 const TOO_MANY_CALLS: u16 = 429;
 
 impl StoreError {
-    /// Whether the store answered, and what was read before cannot be gone on from.
+    /// Whether the store answered, but a watch cannot continue from earlier reads.
     pub fn requires_reread(&self) -> bool {
         matches!(self, Self::HistoryGone | Self::Restored)
     }
 
-    /// What the failure tells of the entries of endpoints.
+    /// What the failure says about the entries of endpoints.
     pub fn trouble(&self) -> StoreTrouble {
         match self {
             Self::Refused(TOO_MANY_CALLS) => StoreTrouble::TurnsAway,
@@ -58,21 +58,21 @@
     }
 }
 
-/// A configuration as it was read, or why it cannot be.
+/// A configuration as read, or why it is invalid.
 pub type CatalogRead = Result<CatalogParts, String>;
 
-/// What the store keeps of requests that end their endpoints.
+/// Stored list of requests that crash their endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineObject {
-    /// Revision of its newest change.
+    /// Revision of its latest change.
     pub revision: Revision,
-    /// What it says.
+    /// Its content.
     pub record: QuarantineRecord,
 }
 
-/// The store's calls. Each is one call on the wire, which is counted and priced.
+/// Calls to the store. Each is one request on the network, which is counted and billed.
 pub trait MetadataStore: Clone + 'static {
-    /// The newest era that an answer named; `None` if none did.
+    /// Newest era named in an answer; `None` if none was.
     fn newest_era(&self) -> Option<Era>;
 
     /// Reads the newest configuration; `None` if there is none yet.
@@ -97,39 +97,39 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Snapshot<Vec<Change>>, StoreError>>;
 
-    /// Reads a lease's object.
+    /// Reads the object of a lease.
     fn read_lease(
         &self,
         name: &str,
     ) -> impl Future<Output = Result<Option<(Revision, LeaseRecord)>, StoreError>>;
 
-    /// Reads who held a lease some seconds ago at the most. Costs less than [`Self::read_lease`], and is
-    /// no ground for taking the lease.
+    /// Reads the holder of a lease, at most a few seconds stale. Costs less than
+    /// [`Self::read_lease`], but is no basis for acquiring the lease.
     fn peek_lease(
         &self,
         name: &str,
     ) -> impl Future<Output = Result<Option<LeaseRecord>, StoreError>>;
 
-    /// Reads what is kept of requests that end their endpoints; `None` if nothing ever was.
+    /// Reads the quarantine list; `None` if it was never written.
     fn read_quarantine(
         &self,
     ) -> impl Future<Output = Result<Snapshot<Option<QuarantineObject>>, StoreError>>;
 
-    /// Waits for a change of that; `None` if there was none within `wait`.
+    /// Waits for a change of the quarantine list; `None` if there was none within `wait`.
     fn watch_quarantine(
         &self,
         since: Revision,
         wait: Duration,
     ) -> impl Future<Output = Result<Snapshot<Option<QuarantineObject>>, StoreError>>;
 
-    /// Writes that, if it is still at the expected revision, or is not there.
+    /// Writes the quarantine list if it is still at the expected revision, or does not exist.
     fn write_quarantine(
         &self,
         expected: Option<Revision>,
         record: &QuarantineRecord,
     ) -> impl Future<Output = WriteEnd<Revision>>;
 
-    /// Carries out the write of a lease.
+    /// Performs a conditional write of a lease.
     fn write_lease(
         &self,
         name: &str,
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -167,7 +167,7 @@
                 gateway.load.on_sent(&job.service.name, false, Instant::now());
             }
             if refusal.misdirected || at_fault.is_some() {
-                gateway.on_evidence(blamed, Evidence::LacksPart, sent_at, &reason);
+                gateway.on_evidence(blamed, Evidence::RefusedPart, sent_at, &reason);
             }
             let left = if refusal.misdirected { Left::Misdirected } else { Left::NotRun };
             ended(at_fault, left, reason)
--- a/crates/sillbank_gateway/tests/call_book.rs
+++ b/crates/sillbank_gateway/tests/call_book.rs
@@ -1,4 +1,4 @@
-//! What is noted of a call that was sent, also if nobody waits for it any more.
+//! What a call timer records about an endpoint, also when nobody waits for the answer any more.
 
 use sillbank_admission::calls::{CallAsk, CallCandidate, CallChoice};
 use sillbank_gateway::call_tracker::CallTracker;
@@ -8,7 +8,7 @@
 const QUICK: &str = "quick";
 const WATCHED: &str = "watched";
 
-/// A book in which one of two endpoints is known to answer in 20 ms.
+/// A tracker in which one of two endpoints is known to answer in 20 ms.
 fn tracker() -> CallTracker {
     let tracker = CallTracker::default();
     let now = Instant::now();
@@ -16,13 +16,13 @@
     tracker
 }
 
-fn long_before(now: Instant) -> Instant {
+fn two_seconds_before(now: Instant) -> Instant {
     now.checked_sub(Duration::from_secs(2)).expect("the machine runs for longer")
 }
 
-/// Whether a call with 800 ms left may go to the watched endpoint, asked as of a moment before anything was noted of
-/// it, so that nothing has aged however long the test takes.
-fn takes_calls(tracker: &CallTracker, now: Instant) -> bool {
+/// Whether a call with 800 ms left may go to the timed endpoint. The decision is made as of a
+/// moment before anything was recorded, so that nothing ages however long the test takes.
+fn accepts_calls(tracker: &CallTracker, now: Instant) -> bool {
     let watched = CallCandidate { endpoint: WATCHED, is_home: true, in_flight: 0, places: 6 };
     let ask = CallAsk { time_left: Duration::from_millis(800), may_repeat: false, rank: 0 };
     let choose = |times: &mut sillbank_admission::calls::CallTimes| {
@@ -31,39 +31,43 @@
     tracker.with(SERVICE, choose) == CallChoice::Send(0)
 }
 
+/// An unanswered call whose caller waited long marks its endpoint as slow.
 #[test]
-fn a_call_that_was_given_up_after_long_tells_that_its_endpoint_is_slow() {
+fn a_call_abandoned_after_a_long_wait_marks_its_endpoint_as_slow() {
     let (tracker, now) = (tracker(), Instant::now());
 
-    drop(tracker.watch(SERVICE, WATCHED, long_before(now)));
+    drop(tracker.start_timer(SERVICE, WATCHED, two_seconds_before(now)));
 
-    assert!(!takes_calls(&tracker, now));
+    assert!(!accepts_calls(&tracker, now));
 }
 
+/// A discarded timer leaves the endpoint usable.
 #[test]
-fn a_call_that_never_arrived_tells_nothing_of_its_endpoint() {
+fn a_call_that_never_arrived_says_nothing_about_its_endpoint() {
     let (tracker, now) = (tracker(), Instant::now());
 
-    tracker.watch(SERVICE, WATCHED, long_before(now)).on_nothing();
+    tracker.start_timer(SERVICE, WATCHED, two_seconds_before(now)).discard();
 
-    assert!(takes_calls(&tracker, now));
+    assert!(accepts_calls(&tracker, now));
 }
 
+/// A refusal for lack of slots pauses the endpoint.
 #[test]
-fn an_endpoint_that_was_full_is_left_for_a_moment() {
+fn a_full_endpoint_is_avoided_for_a_moment() {
     let (tracker, now) = (tracker(), Instant::now());
 
-    tracker.watch(SERVICE, WATCHED, now).on_full();
+    tracker.start_timer(SERVICE, WATCHED, now).record_full();
 
-    assert!(!takes_calls(&tracker, now));
+    assert!(!accepts_calls(&tracker, now));
 }
 
+/// A dropped endpoint loses its recorded times.
 #[test]
-fn an_endpoint_that_is_not_listed_any_more_is_forgotten() {
+fn an_endpoint_that_is_no_longer_listed_is_dropped() {
     let (tracker, now) = (tracker(), Instant::now());
-    tracker.watch(SERVICE, WATCHED, long_before(now)).on_answer();
+    tracker.start_timer(SERVICE, WATCHED, two_seconds_before(now)).record_answer();
 
     tracker.retain(|id| id != WATCHED);
 
-    assert!(takes_calls(&tracker, now));
+    assert!(accepts_calls(&tracker, now));
 }
--- a/crates/sillbank_gateway/tests/demand.rs
+++ b/crates/sillbank_gateway/tests/demand.rs
@@ -1,4 +1,4 @@
-//! What a VM believes of the fleet's demand.
+//! The demand on the fleet as a VM computes it from hall reports.
 
 use sillbank_demand::prelude::*;
 use sillbank_gateway::demand::FleetDemand;
@@ -12,7 +12,7 @@
     DemandRate { offered_per_s, ..DemandRate::none("quotes", rank) }
 }
 
-fn told(rates: Vec<DemandRate>) -> Option<HallRates> {
+fn some_rates(rates: Vec<DemandRate>) -> Option<HallRates> {
     Some(HallRates { age_ms: 0, rates })
 }
 
@@ -28,8 +28,8 @@
     }
 }
 
-/// What a VM of the hall `a` believes, which sees two requests a second itself.
-fn believed(reports: &HallReports, now: Instant) -> FleetDemand {
+/// Demand as computed by a VM of hall `a` that itself sees two requests a second.
+fn fleet_demand(reports: &HallReports, now: Instant) -> FleetDemand {
     FleetDemand::new(reports.demand("quotes", now), "a", || (vec![rate(0, 2.0)], 20))
 }
 
@@ -37,57 +37,62 @@
     fleet.rates.iter().map(|rate| (rate.rank, rate.offered_per_s)).collect()
 }
 
+/// Rates of all halls are summed by rank, with the age of the oldest.
 #[test]
-fn what_halls_are_asked_for_adds_up_by_rank() {
+fn the_demand_on_all_halls_adds_up_by_rank() {
     let (reports, now) = (HallReports::default(), Instant::now());
-    reports.insert(now, report("a", told(vec![rate(0, 30.0), rate(2, 10.0)])));
-    reports.insert(now, report("b", told(vec![rate(2, 50.0)])));
+    reports.insert(now, report("a", some_rates(vec![rate(0, 30.0), rate(2, 10.0)])));
+    reports.insert(now, report("b", some_rates(vec![rate(2, 50.0)])));
 
-    let fleet = believed(&reports, now + MS * 300);
+    let fleet = fleet_demand(&reports, now + MS * 300);
 
     assert_eq!(offered(&fleet), [(0, 30.0), (2, 60.0)]);
     assert_eq!((fleet.age, fleet.vms, fleet.is_reported), (MS * 300, 40, true));
 }
 
+/// Reported rates expire after two seconds; then the VM's own rates times its hall's VMs are used.
 #[test]
-fn figures_of_a_silent_leader_are_believed_for_two_seconds() {
+fn rates_of_a_silent_leader_are_used_for_two_seconds() {
     let (reports, now) = (HallReports::default(), Instant::now());
-    reports.insert(now, report("a", told(vec![rate(0, 30.0)])));
+    reports.insert(now, report("a", some_rates(vec![rate(0, 30.0)])));
 
-    let before = believed(&reports, now + MS * 1_900);
-    let after = believed(&reports, now + MS * 2_000);
+    let before = fleet_demand(&reports, now + MS * 1_900);
+    let after = fleet_demand(&reports, now + MS * 2_000);
 
     assert_eq!(offered(&before), [(0, 30.0)]);
     assert_eq!(offered(&after), [(0, 40.0)], "its own two a second times twenty VMs");
     assert!(!after.is_reported);
 }
 
+/// A new leader's report without demand keeps the rates of the previous leader.
 #[test]
-fn the_figures_of_a_leader_before_stand_until_the_next_has_heard_its_vms() {
+fn rates_of_the_previous_leader_are_kept_until_the_next_has_heard_from_its_vms() {
     let (reports, now) = (HallReports::default(), Instant::now());
-    reports.insert(now, report("a", told(vec![rate(0, 30.0)])));
+    reports.insert(now, report("a", some_rates(vec![rate(0, 30.0)])));
 
     reports.insert(now + MS * 500, report("a", None));
 
-    assert_eq!(offered(&believed(&reports, now + MS * 600)), [(0, 30.0)]);
+    assert_eq!(offered(&fleet_demand(&reports, now + MS * 600)), [(0, 30.0)]);
 }
 
+/// An empty list of rates counts as reported, not as missing.
 #[test]
-fn a_hall_that_nobody_asks_is_known_to_be_idle() {
+fn a_hall_without_requests_is_known_to_be_idle() {
     let (reports, now) = (HallReports::default(), Instant::now());
-    reports.insert(now, report("a", told(vec![rate(0, 30.0)])));
+    reports.insert(now, report("a", some_rates(vec![rate(0, 30.0)])));
 
-    reports.insert(now + MS * 500, report("a", told(Vec::new())));
-    let fleet = believed(&reports, now + MS * 600);
+    reports.insert(now + MS * 500, report("a", some_rates(Vec::new())));
+    let fleet = fleet_demand(&reports, now + MS * 600);
 
     assert_eq!((offered(&fleet), fleet.is_reported), (Vec::new(), true));
 }
 
-/// Figures go from hall to hall with their age, also when the board that brought them has been told again.
+/// Rates keep their age when passed on, also if the hall report that held them is sent again, and
+/// are sent to a follower only once.
 #[test]
 fn demand_is_passed_on_once_with_its_age() {
     let (leader, vm, now) = (HallReports::default(), HallReports::default(), Instant::now());
-    leader.insert(now, report("b", told(vec![rate(1, 30.0)])));
+    leader.insert(now, report("b", some_rates(vec![rate(1, 30.0)])));
     leader.insert(now + MS * 400, report("b", None));
 
     let (seen, first) = leader.since(0, now + MS * 500);
--- a/crates/sillbank_gateway/tests/endpoints.rs
+++ b/crates/sillbank_gateway/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! What is seen of endpoints decides who is left alone, and for how long.
+//! Which endpoints are ejected by observed evidence, and for how long.
 
 use sillbank_fleet::prelude::*;
 use sillbank_gateway::doctor::{Probe, lost_by_probes, silence_means_loss};
@@ -8,7 +8,7 @@
 
 const ID: &str = "e1";
 
-fn share(endpoint: &str) -> RequestPart {
+fn part(endpoint: &str) -> RequestPart {
     RequestPart { endpoint: endpoint.to_owned(), kv: 0.0 }
 }
 
@@ -16,20 +16,22 @@
     (Rc::default(), Instant::now())
 }
 
+/// Failures and refused parts only raise an engine's cost, and only for a while.
 #[test]
 fn lost_answers_and_refusals_exclude_no_engine() {
     let (tracker, now) = tracker();
 
     tracker.on_evidence(ID, Evidence::Failed, now);
-    tracker.on_evidence(ID, Evidence::LacksPart, now);
+    tracker.on_evidence(ID, Evidence::RefusedPart, now);
 
     assert!(tracker.may_join_path(ID));
     assert!(tracker.use_cost_ms(ID, now) > 100.0);
     assert!(tracker.use_cost_ms(ID, now + Duration::from_secs(1)) < 100.0);
 }
 
+/// An unreachable endpoint is ejected, becomes due for a probe, and returns after a success.
 #[test]
-fn an_endpoint_that_cannot_be_reached_is_left_alone_until_it_answers() {
+fn an_unreachable_endpoint_is_ejected_until_it_answers() {
     let (tracker, now) = tracker();
 
     tracker.on_evidence(ID, Evidence::Unreachable, now);
@@ -42,8 +44,9 @@
     assert!(tracker.may_join_path(ID));
 }
 
+/// Only an ejection at or after the given moment counts.
 #[test]
-fn only_losses_after_a_send_count_against_it() {
+fn only_an_ejection_after_a_send_counts_for_it() {
     let (tracker, now) = tracker();
     let sent_before = now - Duration::from_secs(1);
     let sent_after = now + Duration::from_secs(1);
@@ -54,8 +57,9 @@
     assert!(!tracker.ejected_since(ID, sent_after));
 }
 
+/// An endpoint that fails continuously is ejected.
 #[test]
-fn an_endpoint_that_fails_most_requests_is_left_alone() {
+fn an_endpoint_that_fails_most_requests_is_ejected() {
     let (tracker, now) = tracker();
 
     let changes = (0..10).filter(|_| tracker.on_evidence(ID, Evidence::Failed, now)).count();
@@ -64,8 +68,9 @@
     assert!(tracker.is_ejected(ID));
 }
 
+/// A failure share of one in seven, as healthy endpoints have, causes no ejection.
 #[test]
-fn an_endpoint_that_fails_one_request_in_seven_is_not() {
+fn an_endpoint_that_fails_one_request_in_seven_is_not_ejected() {
     let (tracker, now) = tracker();
 
     for number in 0..200 {
@@ -76,26 +81,28 @@
     assert!(!tracker.is_ejected(ID));
 }
 
+/// An ejected endpoint gets one trial request at a time.
 #[test]
-fn a_lost_plain_endpoint_is_tried_by_one_request_at_a_time() {
+fn a_lost_plain_endpoint_gets_one_trial_request_at_a_time() {
     let (tracker, now) = tracker();
     tracker.on_evidence(ID, Evidence::Unreachable, now);
     let later = now + Duration::from_secs(2);
 
     let may_first = tracker.accepts_work(ID, later);
-    let _first = tracker.start(vec![share(ID)], later);
+    let _first = tracker.start(vec![part(ID)], later);
     let may_second = tracker.accepts_work(ID, later);
 
     assert!(may_first);
     assert!(!may_second);
 }
 
+/// Dropping a guard ends exactly its own work.
 #[test]
 fn work_in_flight_ends_when_it_is_dropped() {
     let (tracker, now) = tracker();
 
-    let first = tracker.start(vec![share(ID), share("e2")], now);
-    let second = tracker.start(vec![share(ID)], now);
+    let first = tracker.start(vec![part(ID), part("e2")], now);
+    let second = tracker.start(vec![part(ID)], now);
     drop(first);
 
     assert_eq!(tracker.in_flight(ID), 1);
@@ -103,8 +110,9 @@
     assert_eq!(tracker.in_flight(ID), 0);
 }
 
+/// A silent endpoint only counts as lost while it is listed as ready.
 #[test]
-fn an_endpoint_that_leaves_may_fall_silent_while_it_ends_what_it_has() {
+fn a_leaving_endpoint_may_be_silent_while_it_finishes_its_work() {
     assert!(silence_means_loss(Some(Standing::Ready)));
     assert!(!silence_means_loss(Some(Standing::Leaving)));
     assert!(!silence_means_loss(None));
@@ -114,6 +122,7 @@
     of.iter().map(|(id, probe)| ((*id).to_owned(), *probe)).collect()
 }
 
+/// A refused connection during a stalled stream shows that the engine is lost.
 #[test]
 fn an_engine_that_refuses_a_call_while_a_stream_stands_still_is_lost() {
     let probes = probes(&[("a", Probe::Silent), ("b", Probe::Refused), ("c", Probe::Silent)]);
@@ -123,6 +132,7 @@
     assert_eq!(lost, vec![("b".to_owned(), Probe::Refused)]);
 }
 
+/// A silent engine is lost if most other probes are answered.
 #[test]
 fn an_engine_that_is_silent_while_most_others_answer_is_lost() {
     let probes = probes(&[("a", Probe::Answered), ("b", Probe::Silent), ("c", Probe::Answered)]);
@@ -132,15 +142,17 @@
     assert_eq!(lost, vec![("b".to_owned(), Probe::Silent)]);
 }
 
+/// A VM that is itself cut off considers no engine lost.
 #[test]
-fn a_vm_that_hears_of_hardly_any_engine_takes_none_for_lost() {
+fn a_vm_that_reaches_hardly_any_engine_considers_none_lost() {
     let probes = probes(&[("a", Probe::Silent), ("b", Probe::Silent), ("c", Probe::Answered)]);
 
     assert!(lost_by_probes(&probes).is_empty());
 }
 
+/// A recent answer makes a probe unnecessary.
 #[test]
-fn an_engine_that_answered_a_moment_ago_need_not_be_asked() {
+fn an_engine_that_answered_recently_need_not_be_probed() {
     let (tracker, now) = (Rc::new(EndpointTracker::default()), Instant::now());
 
     tracker.on_answer("a", now);
@@ -150,14 +162,16 @@
     assert!(!tracker.answered_since("b", now));
 }
 
+/// Work sent to an earlier incarnation does not reduce the count of the new one, even if the
+/// endpoint was dropped in between.
 #[test]
-fn work_of_a_life_before_ends_without_a_trace_also_after_its_endpoint_was_forgotten() {
+fn work_of_an_earlier_incarnation_does_not_affect_the_new_one() {
     let (tracker, now) = tracker();
-    let before = tracker.start(vec![share(ID)], now);
+    let before = tracker.start(vec![part(ID)], now);
     tracker.on_restart(ID, now);
     tracker.retain(|_| false);
 
-    let _after = tracker.start(vec![share(ID)], now);
+    let _after = tracker.start(vec![part(ID)], now);
     drop(before);
 
     assert_eq!(tracker.in_flight(ID), 1);
--- a/crates/sillbank_gateway/tests/fleet_sources.rs
+++ b/crates/sillbank_gateway/tests/fleet_sources.rs
@@ -1,9 +1,9 @@
-//! However the store refuses some VMs of a fleet and answers others, no VM that reaches it, or hears of one
-//! that does, goes on with old news.
+//! Whatever VMs of a fleet the store refuses, no VM that reaches it, or hears from one that does,
+//! keeps outdated knowledge.
 //!
-//! A fleet is played in steps of 10 ms: leaders follow the store and each other, VMs ask their leader, and
-//! each looks for another source as the gateway's own rules say. The store answers after 5 ms, refuses, or
-//! is silent; links between VMs are cut.
+//! The fleet is simulated in steps of 10 ms: leaders follow the store and each other, VMs follow
+//! their leader, and each looks for another source by the gateway's own rules. The store answers
+//! after 5 ms, refuses, or is silent, and links between VMs are cut.
 
 mod support;
 
@@ -12,41 +12,43 @@
 use sillbank_gateway::freshness::Freshness;
 use sillbank_testing::{for_fixed_seeds, for_seed};
 use std::time::Duration;
-use support::fleet::{Fleet, StoreSees};
+use support::fleet::{Fleet, StoreResponse};
 
-/// Bounds for configurations to be in force on the deployments known.
+/// Times within which a configuration must be in force on the known deployments.
 const BOUNDS_MS: [u64; 3] = [2_000, 3_000, 4_000];
-/// What chance brings where one sequence of it is enough.
+/// Seed for tests that need only one random sequence.
 const SEED: u64 = 1;
-/// A sequence with which a leader that was cut from the store looked for it 40 times in 10 s.
-const FORMER_RED: u64 = 53;
+/// With this seed a leader that was cut off from the store checked it 40 times in 10 s.
+const REGRESSION_SEED: u64 = 53;
 const REVOCATION: Duration = Duration::from_secs(5);
-/// Time in which a fleet that has begun settles.
+/// Time in which a started fleet settles.
 const SETTLED_MS: u64 = 5_000;
-/// How long the trouble lasts.
-const TROUBLE_MS: u64 = 12_000;
-/// VMs of a hall, and how many sequences of chance halls of that size are played with.
+/// Duration of the outage.
+const OUTAGE_MS: u64 = 12_000;
+/// VMs of a hall, and the number of seeds for halls of that size.
 const SIZES: [(usize, u64); 3] = [(3, 30), (20, 3), (59, 1)];
-/// Looks of a leader that is cut from the store are so far apart: its hall hears of the store's return within
-/// this time, and twice as often would only cost twice the calls.
-const LOOKS_APART_MS: u64 = 500;
-/// Looks of a leader that has just lost the store which are nearer to each other: after 0.1, 0.2 and 0.4 s.
-const FIRST_LOOKS: u64 = 3;
-/// Time in which another leader has come to follow the store for all: the longest bound in use.
-const HANDED_OVER_MS: u64 = 4_000;
+/// Interval between calls of a leader that is cut off from the store. Its hall notices the store's
+/// return within it; half of it would double the calls.
+const RETRY_INTERVAL_MS: u64 = 500;
+/// Number of calls at shorter intervals right after a leader has lost the store: after 0.1, 0.2 and
+/// 0.4 s.
+const FIRST_RETRIES: u64 = 3;
+/// Time within which another leader follows the store for all: the longest bound in use.
+const HANDOVER_MS: u64 = 4_000;
 
 fn bound(bound_ms: u64) -> Duration {
     Duration::from_millis(bound_ms)
 }
 
-/// A fleet that draws from the sequence of `seed`.
+/// A fleet that draws random numbers from `seed`.
 fn fleet(seed: u64, halls: usize, vms: usize, bound_ms: u64) -> Fleet {
     let freshness = Freshness::new(bound(bound_ms), REVOCATION);
     Fleet::new(halls, vms, freshness, Chance::with_seed(seed))
 }
 
+/// In normal operation one leader follows the store for the whole fleet.
 #[test]
-fn while_all_is_well_only_one_leader_asks_the_store() {
+fn in_normal_operation_only_one_leader_asks_the_store() {
     for bound_ms in BOUNDS_MS {
         let mut fleet = fleet(SEED, 3, 20, bound_ms);
         fleet.run(SETTLED_MS, |_| {});
@@ -61,52 +63,52 @@
     }
 }
 
-/// The pattern: all leaders lose the store at once, in silence, while two of three VMs still reach it.
+/// All leaders lose the store at once and silently, while two of three VMs still reach it.
 #[test]
-fn halls_whose_leaders_are_all_cut_from_the_store_are_told_by_others() {
+fn halls_whose_leaders_all_lose_the_store_are_updated_by_other_vms() {
     let cases = BOUNDS_MS.into_iter().flat_map(cases_of_bound);
     for (bound_ms, vms, seed) in cases {
         let mut fleet = fleet(seed, 5, vms, bound_ms);
         fleet.run(SETTLED_MS, |_| {});
-        fleet.cut_from_store(StoreSees::Silence, |vm| vm.leads || vm.number % 3 == 2);
+        fleet.cut_from_store(StoreResponse::Silence, |vm| vm.is_leader || vm.number % 3 == 2);
 
         let mut oldest = Duration::ZERO;
-        fleet.run(TROUBLE_MS, |fleet| oldest = oldest.max(fleet.oldest()));
+        fleet.run(OUTAGE_MS, |fleet| oldest = oldest.max(fleet.oldest()));
 
         let case = format!("seed {seed}, {bound_ms}, {vms} VMs a hall");
         assert!(oldest < bound(bound_ms), "{case}: {oldest:?}");
     }
 }
 
-/// The same, and at the moment at which others act, the store loses all answers for a second.
+/// In addition, the store loses all answers for a second, just when other VMs take over.
 #[test]
-fn answers_that_are_lost_for_a_second_leave_time_for_another_call() {
+fn a_second_of_lost_answers_leaves_time_for_another_call() {
     let cases = [3_000, 4_000].into_iter().flat_map(cases_of_bound);
     for (bound_ms, vms, seed) in cases {
         let mut fleet = fleet(seed, 5, vms, bound_ms);
         fleet.run(SETTLED_MS, |_| {});
-        fleet.cut_from_store(StoreSees::Silence, |vm| vm.leads);
+        fleet.cut_from_store(StoreResponse::Silence, |vm| vm.is_leader);
         fleet.run(bound_ms / 2, |_| {});
-        fleet.cut_from_store(StoreSees::Silence, |_| true);
+        fleet.cut_from_store(StoreResponse::Silence, |_| true);
         fleet.run(500, |_| {});
-        fleet.cut_from_store(StoreSees::Silence, |vm| vm.leads);
+        fleet.cut_from_store(StoreResponse::Silence, |vm| vm.is_leader);
 
         let mut oldest = Duration::ZERO;
-        fleet.run(TROUBLE_MS, |fleet| oldest = oldest.max(fleet.oldest()));
+        fleet.run(OUTAGE_MS, |fleet| oldest = oldest.max(fleet.oldest()));
 
         let case = format!("seed {seed}, {bound_ms}, {vms} VMs a hall");
         assert!(oldest < bound(bound_ms), "{case}: {oldest:?}");
     }
 }
 
-/// The bound with each size of halls and each seed for it.
+/// The bound with each size of halls and each seed.
 fn cases_of_bound(bound_ms: u64) -> impl Iterator<Item = (u64, usize, u64)> {
     SIZES
         .into_iter()
         .flat_map(move |(vms, seeds)| (0..seeds).map(move |seed| (bound_ms, vms, seed)))
 }
 
-/// A fleet whose first leader, which the others rely on, loses the store after a while.
+/// A fleet whose first leader, which the others rely on, loses the store after it has settled.
 struct Handover {
     fleet: Fleet,
     halls: usize,
@@ -114,13 +116,13 @@
 }
 
 impl Handover {
-    fn begin(mut fleet: Fleet, halls: usize, bound_ms: u64, sees: StoreSees) -> Self {
+    fn begin(mut fleet: Fleet, halls: usize, bound_ms: u64, response: StoreResponse) -> Self {
         fleet.run(SETTLED_MS, |_| {});
-        fleet.cut_from_store(sees, |vm| vm.leads && vm.hall == 0);
+        fleet.cut_from_store(response, |vm| vm.is_leader && vm.hall == 0);
         Self { fleet, halls, freshness: Freshness::new(bound(bound_ms), REVOCATION) }
     }
 
-    /// Calls to the store from now on, for so long.
+    /// Calls to the store during the next `window_ms`.
     fn calls_in(&mut self, window_ms: u64) -> Calls {
         let before = self.calls_so_far();
         self.fleet.run(window_ms, |_| {});
@@ -137,70 +139,75 @@
         Calls { leaders, members: self.fleet.calls_of_members() }
     }
 
-    /// Most calls of the leader that is cut, once its first pauses are over: it looks twice a second.
-    fn most_of_cut(&self, window_ms: u64) -> u64 {
-        most_calls(window_ms, LOOKS_APART_MS)
+    /// Largest number of calls of the leader that is cut off, after its first retries: two a
+    /// second.
+    fn max_calls_of_cut_leader(&self, window_ms: u64) -> u64 {
+        max_calls(window_ms, RETRY_INTERVAL_MS)
     }
 
-    /// Most calls of the leader that follows: one watch after the other.
-    fn most_of_follower(&self, window_ms: u64) -> u64 {
-        most_calls(window_ms, self.freshness.watch_wait.as_millis() as u64)
+    /// Largest number of calls of the leader that follows: one watch after the other.
+    fn max_calls_of_following_leader(&self, window_ms: u64) -> u64 {
+        max_calls(window_ms, self.freshness.watch_wait.as_millis() as u64)
     }
 }
 
 /// Calls to the store.
 #[derive(Debug)]
 struct Calls {
-    /// Of each hall's leader, in the order in which leaders rely on each other.
+    /// Calls of each hall's leader, in the order in which leaders rely on each other.
     leaders: Vec<u64>,
-    /// Of all other VMs.
+    /// Calls of all other VMs.
     members: u64,
 }
 
-/// Most calls in a window that are at least so far apart.
-fn most_calls(window_ms: u64, apart_ms: u64) -> u64 {
+/// Largest number of calls in a window that are at least `apart_ms` apart.
+fn max_calls(window_ms: u64, apart_ms: u64) -> u64 {
     window_ms / apart_ms + 1
 }
 
-/// The leader that others rely on loses the store; another follows it for all, and no VM needs to ask: a watch
-/// after the other of the one that follows, and two looks a second of the one that is cut.
+/// After the upstream leader has lost the store, another one follows it for all, and no other VM
+/// needs to: one watch after the other of that leader, and two checks a second of the one that is
+/// cut off.
 #[test]
 fn after_a_handover_only_the_next_leader_and_the_one_that_is_cut_ask_the_store() {
     for_fixed_seeds(1_000, 64, |u| {
         let bound_ms = *u.choose(&BOUNDS_MS)?;
-        let sees = *u.choose(&[StoreSees::Refusal, StoreSees::Silence])?;
+        let response = *u.choose(&[StoreResponse::Refusal, StoreResponse::Silence])?;
         let (halls, vms) = (u.int_in_range(2..=5)?, u.int_in_range(1..=5)?);
         let fleet = fleet(u.arbitrary()?, halls, vms, bound_ms);
-        let mut handover = Handover::begin(fleet, halls, bound_ms, sees);
-        handover.calls_in(HANDED_OVER_MS);
+        let mut handover = Handover::begin(fleet, halls, bound_ms, response);
+        handover.calls_in(HANDOVER_MS);
         let window_ms = 10_000;
 
         let calls = handover.calls_in(window_ms);
 
-        let case = format!("{bound_ms} {sees:?} {halls}x{vms}: {calls:?}");
-        assert!(calls.leaders[0] <= handover.most_of_cut(window_ms), "{case}");
-        assert!(calls.leaders[1] <= handover.most_of_follower(window_ms), "{case}");
+        let case = format!("{bound_ms} {response:?} {halls}x{vms}: {calls:?}");
+        assert!(calls.leaders[0] <= handover.max_calls_of_cut_leader(window_ms), "{case}");
+        assert!(calls.leaders[1] <= handover.max_calls_of_following_leader(window_ms), "{case}");
         assert_eq!(calls.leaders[2..].iter().sum::<u64>() + calls.members, 0, "{case}");
         Ok(())
     });
 }
 
-/// What it costs until then: a VM that hears too little meanwhile makes a short call and a watch.
+/// Until then, a VM whose updates are stale makes a short call and a watch.
 #[test]
 fn a_handover_costs_no_other_vm_more_than_two_calls() {
     for_fixed_seeds(300, 64, |u| {
         let bound_ms = *u.choose(&BOUNDS_MS)?;
-        let sees = *u.choose(&[StoreSees::Refusal, StoreSees::Silence])?;
+        let response = *u.choose(&[StoreResponse::Refusal, StoreResponse::Silence])?;
         let (halls, vms) = (u.int_in_range(2..=5)?, u.int_in_range(1..=5)?);
         let fleet = fleet(u.arbitrary()?, halls, vms, bound_ms);
-        let mut handover = Handover::begin(fleet, halls, bound_ms, sees);
+        let mut handover = Handover::begin(fleet, halls, bound_ms, response);
 
-        let calls = handover.calls_in(HANDED_OVER_MS);
+        let calls = handover.calls_in(HANDOVER_MS);
 
-        let case = format!("{bound_ms} {sees:?} {halls}x{vms}: {calls:?}");
-        let most_of_cut = handover.most_of_cut(HANDED_OVER_MS) + FIRST_LOOKS;
-        assert!(calls.leaders[0] <= most_of_cut, "{case}");
-        assert!(calls.leaders[1] <= handover.most_of_follower(HANDED_OVER_MS) + 1, "{case}");
+        let case = format!("{bound_ms} {response:?} {halls}x{vms}: {calls:?}");
+        let max_calls_of_cut_leader = handover.max_calls_of_cut_leader(HANDOVER_MS) + FIRST_RETRIES;
+        assert!(calls.leaders[0] <= max_calls_of_cut_leader, "{case}");
+        assert!(
+            calls.leaders[1] <= handover.max_calls_of_following_leader(HANDOVER_MS) + 1,
+            "{case}"
+        );
         assert!(calls.leaders[2..].iter().all(|of_one| *of_one <= 2), "{case}");
         assert!(calls.members <= 2 * (halls * (vms - 1)) as u64, "{case}");
         Ok(())
@@ -210,77 +217,81 @@
 /// The same in a large fleet.
 #[test]
 fn the_next_leader_follows_for_all_when_the_first_is_cut_from_the_store() {
-    for seed in [SEED, FORMER_RED] {
-        for sees in [StoreSees::Refusal, StoreSees::Silence] {
+    for seed in [SEED, REGRESSION_SEED] {
+        for response in [StoreResponse::Refusal, StoreResponse::Silence] {
             let fleet = fleet(seed, 5, 59, 4_000);
-            let mut handover = Handover::begin(fleet, 5, 4_000, sees);
-            handover.calls_in(HANDED_OVER_MS);
+            let mut handover = Handover::begin(fleet, 5, 4_000, response);
+            handover.calls_in(HANDOVER_MS);
             let window_ms = 10_000;
 
             let calls = handover.calls_in(window_ms);
 
-            let most = handover.most_of_cut(window_ms) + handover.most_of_follower(window_ms);
-            assert_eq!(calls.members, 0, "{seed} {sees:?}");
-            assert!(calls.leaders.iter().sum::<u64>() <= most, "{seed} {sees:?}: {calls:?}");
+            let most = handover.max_calls_of_cut_leader(window_ms)
+                + handover.max_calls_of_following_leader(window_ms);
+            assert_eq!(calls.members, 0, "{seed} {response:?}");
+            assert!(calls.leaders.iter().sum::<u64>() <= most, "{seed} {response:?}: {calls:?}");
         }
     }
 }
 
-/// What 59 VMs of a hall cost the store whose leader has lost it: the first that reach it, not each of them.
+/// When a leader loses the store, the first followers that reach it call it, not all 59 of the
+/// hall.
 #[test]
-fn a_hall_whose_leader_is_cut_from_the_store_does_not_ask_it_as_a_crowd() {
+fn a_hall_whose_leader_loses_the_store_does_not_flood_it() {
     let bound_ms = 3_000;
     let freshness = Freshness::new(bound(bound_ms), REVOCATION);
     for vms in [3, 20, 59] {
         for seed in 0..10 {
             let mut fleet = fleet(seed, 1, vms, bound_ms);
             fleet.run(SETTLED_MS, |_| {});
-            fleet.cut_from_store(StoreSees::Refusal, |vm| vm.leads);
+            fleet.cut_from_store(StoreResponse::Refusal, |vm| vm.is_leader);
             fleet.run(bound_ms, |_| {});
             let before = fleet.calls_of_members();
 
             fleet.run(10_000, |_| {});
 
-            // Its source's watches, one after the other, and nobody beside it.
+            // The watches of the source one after the other, and no other calls.
             let calls = fleet.calls_of_members() - before;
-            let most = most_calls(10_000, freshness.watch_wait.as_millis() as u64);
+            let most = max_calls(10_000, freshness.watch_wait.as_millis() as u64);
             assert!(calls <= most, "seed {seed}, {vms} VMs: {calls} calls in 10 s");
         }
     }
 }
 
-/// Whoever reaches the store, and whoever is told by a chain of VMs that ends at one who does, knows what
-/// is newer than the bound, whatever subset the store refuses or is silent to, in two changes.
+/// Whoever reaches the store, or follows a chain of VMs to one who does, knows what is older than
+/// the bound, whichever VMs the store refuses or ignores, over two changes.
 #[test]
-fn nobody_in_touch_with_one_who_reaches_the_store_holds_old_news() {
-    for_fixed_seeds(60, 1_024, news_stay_fresh);
+fn no_vm_connected_to_one_that_reaches_the_store_is_outdated() {
+    for_fixed_seeds(60, 1_024, knowledge_stays_fresh);
 }
 
-/// A hall is cut from the store in silence for 6 s; then three of its seven members reach it again, and their
-/// leader does not. Where each member paused up to 4 s between looks, news were up to 8.3 s old.
+/// A hall loses the store silently for 6 s; then three of its seven followers reach it again, and
+/// their leader does not. When each follower paused up to 4 s between calls, knowledge was up to
+/// 8.3 s old.
 #[test]
-fn members_that_regain_the_store_before_their_leader_tell_it_in_time() {
-    for_seed(8_336_531_522_560, news_stay_fresh);
+fn followers_that_regain_the_store_first_update_their_leader_in_time() {
+    for_seed(8_336_531_522_560, knowledge_stays_fresh);
 }
 
-/// The same with changes at other moments: in the middle of pauses, looks, handovers and of each other.
+/// The same with changes at other moments: during pauses, calls, handovers and other changes.
 #[test]
-fn nobody_in_touch_holds_old_news_whenever_the_store_comes_and_goes() {
+fn no_connected_vm_is_outdated_whenever_the_store_comes_and_goes() {
     for_fixed_seeds(60, 1_024, |u| {
         let changes = u.int_in_range(3..=5)?;
         let windows_ms: Vec<u64> =
             (0..changes).map(|_| u.int_in_range(50..=900)).collect::<Result<_, _>>()?;
-        // Steps of the model are 10 ms.
-        news_stay_fresh_over(u, windows_ms.iter().map(|window| window * 10))
+        // The fleet runs in steps of 10 ms.
+        knowledge_stays_fresh_over(u, windows_ms.iter().map(|window| window * 10))
     });
 }
 
-fn news_stay_fresh(u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
-    news_stay_fresh_over(u, [6_000, 6_000].into_iter())
+fn knowledge_stays_fresh(u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+    knowledge_stays_fresh_over(u, [6_000, 6_000].into_iter())
 }
 
-/// Changes which VMs are cut from the store once for each window, and lets so much time pass after it.
-fn news_stay_fresh_over(
+/// Changes which VMs are cut off from the store once for each window, and runs the fleet for that
+/// time.
+fn knowledge_stays_fresh_over(
     u: &mut Unstructured<'_>,
     windows_ms: impl Iterator<Item = u64>,
 ) -> arbitrary::Result<()> {
@@ -290,16 +301,16 @@
     let mut fleet = fleet(u.arbitrary()?, halls, vms, bound_ms);
     fleet.run(SETTLED_MS, |_| {});
     for window_ms in windows_ms {
-        let sees = *u.choose(&[StoreSees::Refusal, StoreSees::Silence])?;
+        let response = *u.choose(&[StoreResponse::Refusal, StoreResponse::Silence])?;
         let share: u8 = u.int_in_range(0..=90)?;
         let leaders_too: bool = u.arbitrary()?;
         let draws: Vec<u8> = (0..halls * vms).map(|_| u.arbitrary()).collect::<Result<_, _>>()?;
         let is_cut = |at: usize| u32::from(draws[at]) * 100 < u32::from(share) * 256;
-        fleet.cut_from_store(sees, |vm| match vm.leads {
+        fleet.cut_from_store(response, |vm| match vm.is_leader {
             true => leaders_too,
             false => is_cut(vm.hall * vms + vm.number),
         });
-        // A change may undo what was on its way: what is owed runs anew.
+        // A change may undo what was in progress, so the bound starts anew.
         let mut ran_ms = 0;
         fleet.run(window_ms, |fleet| {
             ran_ms += 10;
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -120,7 +120,7 @@
     };
     let figures = service.engine.as_ref().expect("it has one");
     let demand = Demand::usual(figures);
-    let ask = PathRequest { service: &service, figures, home: HOME, avoid: &[], demand };
+    let ask = PathRequest { service: &service, figures, local_hall: HOME, avoid: &[], demand };
     let path = choose_path(views, ask).expect("there is one");
     forecasts.foretell(views, ask, &path)
 }
--- a/crates/sillbank_gateway/tests/freshness.rs
+++ b/crates/sillbank_gateway/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! While all is well nobody but the leader asks the store; when the leader is blind, others ask in time.
+//! In normal operation only the leader asks the store; when the leader has lost it, others ask in
+//! time.
 
 use sillbank_core::chance::Chance;
 use sillbank_gateway::feed::FeedUpdate;
@@ -9,47 +10,50 @@
 use sillbank_gateway::revision::Revision;
 use std::time::{Duration, Instant};
 
-/// Bounds for configurations to be in force on the sites known.
+/// Times within which a configuration must be in force on the known deployments.
 const BOUNDS_MS: [u64; 3] = [2_000, 3_000, 4_000];
-/// What chance brings in these tests; any other holds as well.
+/// Seed of random numbers; any other works as well.
 const SEED: u64 = 1;
-/// A way between two VMs, with a wait for a busy processor.
-const WAY: Duration = Duration::from_millis(50);
-/// Bound for revocations on the sites known.
+/// Network delay between two VMs, with a wait for a busy processor.
+const NETWORK_DELAY: Duration = Duration::from_millis(50);
+/// Time within which a revocation must be in force on the known deployments.
 const REVOCATION: Duration = Duration::from_secs(5);
 
-/// By how much the leader of another hall, which follows the store for this hall's, is later.
-const BY_OTHER_HALL: Duration = Duration::from_millis(200);
+/// Additional delay through the leader of another hall that follows the store for this hall's
+/// leader.
+const OTHER_HALL_DELAY: Duration = Duration::from_millis(200);
 
-/// Ages of the leader's confirmation as a VM knows it right before each news, over some seconds.
-fn ages_before_news(freshness: Freshness, phase: Duration) -> Vec<Duration> {
+/// Ages of the leader's confirmation as a VM knows it right before each update, over some seconds.
+fn ages_before_updates(freshness: Freshness, phase: Duration) -> Vec<Duration> {
     let began = Instant::now();
     let (hall, mut ages) = (Hall::new(Chance::with_seed(SEED)), Vec::new());
-    let step = freshness.watch_wait + WAY;
-    // When the leader has the confirmation after this one, by the leader of another hall.
-    let next_at = |watch_sent: Instant| watch_sent + step + BY_OTHER_HALL;
+    let step = freshness.watch_wait + NETWORK_DELAY;
+    // When the leader gets the next confirmation through the leader of another hall.
+    let next_at = |watch_sent: Instant| watch_sent + step + OTHER_HALL_DELAY;
     let (mut confirmed, mut watch_sent) = (began, began);
-    let mut told = began + phase;
-    while told < began + Duration::from_secs(20) {
-        while next_at(watch_sent) <= told - WAY {
+    let mut updated_at = began + phase;
+    while updated_at < began + Duration::from_secs(20) {
+        while next_at(watch_sent) <= updated_at - NETWORK_DELAY {
             confirmed = watch_sent + freshness.watch_wait;
             watch_sent += step;
         }
-        ages.extend(hall.confirmation_age(told));
-        hall.on_leader_update(told, Some(confirmed), false);
-        // The leader answers when it is confirmed anew, or after a wait.
-        let by_confirmation = (next_at(watch_sent) + WAY).max(told + 2 * WAY);
-        told = (told + LONG_POLL_WAIT + WAY).min(by_confirmation);
+        ages.extend(hall.confirmation_age(updated_at));
+        hall.on_leader_update(updated_at, Some(confirmed), false);
+        // The leader replies when it is confirmed anew, or after its wait.
+        let by_confirmation =
+            (next_at(watch_sent) + NETWORK_DELAY).max(updated_at + 2 * NETWORK_DELAY);
+        updated_at = (updated_at + LONG_POLL_WAIT + NETWORK_DELAY).min(by_confirmation);
     }
     ages
 }
 
+/// A leader that reaches the store stays fresh enough at all times.
 #[test]
-fn a_leader_that_sees_the_store_suffices_without_a_gap() {
+fn a_leader_that_reaches_the_store_is_always_fresh() {
     for bound_ms in BOUNDS_MS {
         let freshness = Freshness::new(Duration::from_millis(bound_ms), REVOCATION);
         for phase_ms in (0..1_000).step_by(50) {
-            let ages = ages_before_news(freshness, Duration::from_millis(phase_ms));
+            let ages = ages_before_updates(freshness, Duration::from_millis(phase_ms));
 
             let oldest = ages.iter().max().expect("there are some");
             assert!(*oldest < freshness.max_staleness, "{bound_ms} {phase_ms}: {oldest:?}");
@@ -57,22 +61,24 @@
     }
 }
 
+/// Even the last VM of a hall whose leader lost the store asks early enough to meet the bound.
 #[test]
-fn a_vm_whose_leader_is_blind_asks_in_time_for_the_bound() {
+fn a_vm_whose_leader_lost_the_store_asks_in_time_for_the_bound() {
     for bound_ms in BOUNDS_MS {
         let bound = Duration::from_millis(bound_ms);
 
         let freshness = Freshness::new(bound, REVOCATION);
 
         let last = freshness.max_staleness_for_member(300, 1.0);
-        // A fifth is left for a call in vain and for passing the news on.
+        // A fifth is left for a failed call and for passing the update on.
         assert!(last + SOURCE_CHECK_INTERVAL <= bound.mul_f64(0.8), "{bound_ms}: {last:?}");
-        assert!(last + SOURCE_CHECK_INTERVAL + 4 * WAY <= bound, "{bound_ms}: {last:?}");
+        assert!(last + SOURCE_CHECK_INTERVAL + 4 * NETWORK_DELAY <= bound, "{bound_ms}: {last:?}");
     }
 }
 
+/// Small halls ask without a stagger; in large halls it grows with the drawn number.
 #[test]
-fn the_vms_of_a_small_hall_do_not_wait_for_turns() {
+fn the_vms_of_a_small_hall_ask_without_stagger() {
     let freshness = freshness();
 
     assert_eq!(freshness.max_staleness_for_member(4, 1.0), freshness.max_staleness);
@@ -85,7 +91,7 @@
     Freshness::new(Duration::from_secs(2), REVOCATION)
 }
 
-fn news(held_ms: u64, confirmed_age_ms: u64) -> FeedUpdate {
+fn update(held_ms: u64, confirmed_age_ms: u64) -> FeedUpdate {
     FeedUpdate {
         incarnation: 1,
         hall_reports_seen: 0,
@@ -104,54 +110,60 @@
     }
 }
 
+/// The time for which the leader held the request does not make the confirmation older.
 #[test]
-fn a_confirmation_that_waited_for_news_is_not_taken_for_older_than_it_is() {
+fn the_hold_time_of_a_request_does_not_age_the_confirmation() {
     let sent = Instant::now();
     let answered = sent + Duration::from_millis(410);
 
-    let confirmed = news(400, 700).confirmed_since(sent, answered);
+    let confirmed = update(400, 700).local_confirmation_time(sent, answered);
 
-    // 300 ms before the ask was sent, and not 700.
+    // 300 ms before the request was sent, and not 700.
     assert_eq!(confirmed, sent.checked_sub(Duration::from_millis(300)));
 }
 
+/// An absurd hold time does not lead to a confirmation in the future.
 #[test]
-fn a_leader_that_claims_to_have_held_an_ask_for_an_hour_confirms_nothing_that_is_to_come() {
+fn an_absurd_hold_time_confirms_nothing_in_the_future() {
     let sent = Instant::now();
     let answered = sent + Duration::from_millis(410);
 
-    let confirmed = news(3_600_000, 0).confirmed_since(sent, answered);
+    let confirmed = update(3_600_000, 0).local_confirmation_time(sent, answered);
 
     assert_eq!(confirmed, Some(answered));
 }
 
+/// An absurd age of a confirmation counts as stale.
 #[test]
 fn a_confirmation_of_absurd_age_is_not_fresh() {
     let sent = Instant::now();
 
-    let confirmed = news(0, u64::MAX).confirmed_since(sent, sent);
+    let confirmed = update(0, u64::MAX).local_confirmation_time(sent, sent);
 
     let age = confirmed.map(|confirmed| sent.saturating_duration_since(confirmed));
     assert!(age.is_none_or(|age| age > freshness().max_staleness), "{age:?}");
 }
 
+/// When calls take longer, watches wait less.
 #[test]
 fn a_leader_of_a_slow_store_asks_more_often() {
     let freshness = Freshness::new(Duration::from_secs(3), REVOCATION);
 
     let wait = freshness.watch_wait_after(Duration::from_millis(250));
 
-    // Two calls that take 250 ms more are as far apart as two that do not.
+    // Two slow calls are as far apart as two normal ones.
     assert_eq!(wait + Duration::from_millis(250), freshness.watch_wait);
     assert!(!freshness.watch_wait_after(Duration::from_secs(9)).is_zero());
 }
 
+/// After the store was lost, requests with keys are served for at least 60 % of the revocation
+/// time.
 #[test]
-fn keys_are_known_for_three_fifths_of_the_bound_after_the_store_was_lost() {
+fn keys_are_accepted_for_three_fifths_of_the_bound_after_the_store_was_lost() {
     for bound_ms in BOUNDS_MS {
         let freshness = Freshness::new(Duration::from_millis(bound_ms), REVOCATION);
         for phase_ms in (0..1_000).step_by(50) {
-            let ages = ages_before_news(freshness, Duration::from_millis(phase_ms));
+            let ages = ages_before_updates(freshness, Duration::from_millis(phase_ms));
 
             let oldest = ages.iter().max().expect("there are some");
             let left = catalog_lease_term(REVOCATION) - *oldest;
@@ -160,16 +172,18 @@
     }
 }
 
+/// A watch that ran its whole wait confirms as of the end of the wait.
 #[test]
-fn a_watch_that_waited_in_vain_confirms_as_of_its_end() {
+fn a_watch_without_changes_confirms_as_of_its_end() {
     let (sent, wait) = (Instant::now(), Duration::from_millis(900));
     let answered = sent + Duration::from_millis(905);
 
     assert_eq!(confirmed_by_watch(sent, wait, answered), sent + wait);
 }
 
+/// A watch that returned early confirms as of its start only.
 #[test]
-fn a_watch_that_was_answered_early_confirms_as_of_its_beginning() {
+fn a_watch_that_returned_early_confirms_as_of_its_start() {
     let (sent, wait) = (Instant::now(), Duration::from_millis(900));
     let answered = sent + Duration::from_millis(500);
 
