--- a/crates/sillbank_gateway/tests/hall.rs
+++ b/crates/sillbank_gateway/tests/hall.rs
@@ -1,4 +1,4 @@
-//! For how long what leaders tell is believed.
+//! Leader, followers and hall reports: for how long they are used.
 
 use sillbank_core::chance::Chance;
 use sillbank_gateway::feed::{EngineState, HallReport};
@@ -12,10 +12,10 @@
 use std::task::{Context, Wake, Waker};
 use std::time::{Duration, Instant};
 
-/// What chance brings in these tests; any other holds as well.
+/// Seed of random numbers; any other works as well.
 const SEED: u64 = 1;
 
-fn board(hall: &str, age_ms: u64, vms: u32, running: u32) -> HallReport {
+fn hall_report(hall: &str, age_ms: u64, vms: u32, running: u32) -> HallReport {
     let engine = EngineState {
         id: "e1".to_owned(),
         born_ms: None,
@@ -45,13 +45,14 @@
     Hall::new(Chance::with_seed(SEED))
 }
 
-/// The least age of a confirmation at which it is not enough any more is then above a second.
+/// Bounds with a maximum staleness above one second.
 fn freshness() -> Freshness {
     Freshness::new(Duration::from_secs(3), Duration::from_secs(5))
 }
 
+/// A leader is fresh while it sends updates and its confirmation is recent.
 #[test]
-fn a_leader_suffices_while_it_is_heard_and_its_confirmation_is_fresh() {
+fn a_leader_is_fresh_while_it_is_live_and_recently_confirmed() {
     let (hall, now, freshness) = (unknown_hall(), Instant::now(), freshness());
 
     hall.on_leader_update(now, Some(now), HOLDS_LEASE);
@@ -63,8 +64,9 @@
     assert!(!hall.leader_is_fresh(now + Duration::from_secs(3), freshness));
 }
 
+/// An acting leader does not rely on another leader.
 #[test]
-fn a_vm_that_leads_follows_the_store_itself() {
+fn an_acting_leader_follows_the_store_itself() {
     let (hall, now, freshness) = (unknown_hall(), Instant::now(), freshness());
     hall.on_leader_update(now, Some(now), HOLDS_LEASE);
 
@@ -73,21 +75,23 @@
     assert!(!hall.leader_is_fresh(now, freshness));
 }
 
+/// Reports are ordered by the time at which they were valid, not by arrival.
 #[test]
-fn an_older_board_does_not_replace_a_newer_one() {
+fn an_older_report_does_not_replace_a_newer_one() {
     let (hall, now) = (unknown_hall(), Instant::now());
 
-    hall.reports.insert(now, board("a", 100, 1, 5));
-    hall.reports.insert(now, board("a", 900, 1, 9));
+    hall.reports.insert(now, hall_report("a", 100, 1, 5));
+    hall.reports.insert(now, hall_report("a", 900, 1, 9));
 
     assert_eq!(hall.reports.engine("a", "e1", now, |engine| engine.state.running), Some(5));
 }
 
+/// A report expires two seconds after it was valid.
 #[test]
-fn a_board_is_believed_for_two_seconds() {
+fn a_report_expires_after_two_seconds() {
     let (hall, now) = (unknown_hall(), Instant::now());
 
-    hall.reports.insert(now, board("a", 500, 1, 5));
+    hall.reports.insert(now, hall_report("a", 500, 1, 5));
 
     let at = |ms| {
         hall.reports
@@ -97,14 +101,15 @@
     assert_eq!(at(1_600), None);
 }
 
+/// The fleet size is known once all halls have reported, and does not shrink.
 #[test]
-fn the_fleet_is_as_large_as_it_was_ever_seen() {
+fn the_fleet_size_is_the_largest_ever_reported() {
     let (hall, now) = (unknown_hall(), Instant::now());
 
     let halls = ["a".to_owned(), "b".to_owned()].into();
-    hall.reports.insert(now, board("a", 0, 4, 0));
+    hall.reports.insert(now, hall_report("a", 0, 4, 0));
     let before_all = hall.reports.fleet_vms(&halls, now);
-    hall.reports.insert(now, board("b", 0, 3, 0));
+    hall.reports.insert(now, hall_report("b", 0, 3, 0));
     let all = hall.reports.fleet_vms(&halls, now);
     let later = hall.reports.fleet_vms(&halls, now + Duration::from_secs(60));
 
@@ -113,26 +118,29 @@
     assert_eq!(later, Some(7));
 }
 
+/// A follower gets each state of an engine once, and the report's age each time.
 #[test]
-fn boards_are_passed_on_once() {
+fn engine_states_are_passed_on_once() {
     let (hall, now) = (unknown_hall(), Instant::now());
-    hall.reports.insert(now, board("a", 100, 1, 5));
-    hall.reports.insert(now, board("b", 100, 1, 5));
+    hall.reports.insert(now, hall_report("a", 100, 1, 5));
+    hall.reports.insert(now, hall_report("b", 100, 1, 5));
 
     let (seen, first) = hall.reports.since(0, now);
     let (_, again) = hall.reports.since(seen, now);
-    hall.reports.insert(now, board("b", 50, 1, 50));
+    hall.reports.insert(now, hall_report("b", 50, 1, 50));
     let (_, changed) = hall.reports.since(seen, now);
 
-    let told =
-        |boards: &[HallReport]| -> usize { boards.iter().map(|board| board.engines.len()).sum() };
-    assert_eq!((first.len(), told(&first)), (2, 2));
-    assert_eq!((again.len(), told(&again)), (2, 0), "only that the boards still hold");
-    assert_eq!((changed.len(), told(&changed)), (2, 1));
+    let engine_count = |reports: &[HallReport]| -> usize {
+        reports.iter().map(|report| report.engines.len()).sum()
+    };
+    assert_eq!((first.len(), engine_count(&first)), (2, 2));
+    assert_eq!((again.len(), engine_count(&again)), (2, 0), "only that the reports are still live");
+    assert_eq!((changed.len(), engine_count(&changed)), (2, 1));
 }
 
+/// A leader that cannot renew its lease stays live.
 #[test]
-fn a_leader_without_the_lease_is_heard_but_does_not_hold_it() {
+fn a_leader_without_the_lease_is_live_but_does_not_hold_it() {
     let (hall, now) = (unknown_hall(), Instant::now());
 
     hall.on_leader_update(now, Some(now), !HOLDS_LEASE);
@@ -141,8 +149,9 @@
     assert!(!hall.leader_holds_lease(now));
 }
 
+/// A follower of every change and one that asks once end with the same state.
 #[test]
-fn a_board_that_is_passed_on_in_parts_comes_to_the_same() {
+fn a_report_passed_on_in_parts_yields_the_same_state() {
     // Arrange: one VM asks after each change, another at the end.
     let (leader, now) = (unknown_hall(), Instant::now());
     let (often, once) = (unknown_hall(), unknown_hall());
@@ -151,7 +160,7 @@
     // Act
     for (step, running) in [0, 3, 40, 41, 90, 10].into_iter().enumerate() {
         let at = now + Duration::from_millis(100 * step as u64);
-        leader.reports.insert(at, board("a", 0, 1, running));
+        leader.reports.insert(at, hall_report("a", 0, 1, running));
         let (number, parts) = leader.reports.since(seen, at);
         seen = number;
         parts.into_iter().for_each(|part| often.reports.insert(at, part));
@@ -165,35 +174,39 @@
     assert_eq!(running(&once), Some(10));
 }
 
+/// A complete report removes engines that it does not list.
 #[test]
-fn an_engine_that_is_missing_in_a_whole_board_is_forgotten() {
+fn an_engine_missing_in_a_complete_report_is_dropped() {
     let (hall, now) = (unknown_hall(), Instant::now());
-    hall.reports.insert(now, board("a", 100, 1, 5));
+    hall.reports.insert(now, hall_report("a", 100, 1, 5));
 
-    hall.reports.insert(now, HallReport { engines: Vec::new(), ..board("a", 0, 1, 5) });
+    hall.reports.insert(now, HallReport { engines: Vec::new(), ..hall_report("a", 0, 1, 5) });
 
     assert_eq!(hall.reports.engine("a", "e1", now, |engine| engine.state.running), None);
 }
 
+/// The acting leader retries the store most often, a follower with a live leader least.
 #[test]
-fn the_vm_that_tells_others_looks_most_often_for_a_store_that_is_away() {
-    let (alone, led, tells) = (unknown_hall(), unknown_hall(), unknown_hall());
+fn the_acting_leader_retries_an_unreachable_store_most_often() {
+    let (leaderless, following, acting) = (unknown_hall(), unknown_hall(), unknown_hall());
     let now = Instant::now();
-    for hall in [&alone, &led, &tells] {
+    for hall in [&leaderless, &following, &acting] {
         hall.record_hall_vms(24);
     }
 
-    led.on_leader_update(now, Some(now), HOLDS_LEASE);
-    tells.acting_fence.set(Some(Revision::new(1, 7)));
+    following.on_leader_update(now, Some(now), HOLDS_LEASE);
+    acting.acting_fence.set(Some(Revision::new(1, 7)));
 
-    let pauses = [&tells, &alone, &led].map(|hall| hall.max_retry_pause(now, freshness()));
+    let pauses =
+        [&acting, &leaderless, &following].map(|hall| hall.max_retry_pause(now, freshness()));
     assert!(pauses.is_sorted(), "{pauses:?}");
     assert!(pauses[0] <= Duration::from_millis(500));
     assert!(pauses[1] <= Duration::from_millis(1_500));
 }
 
+/// Publishing a report wakes a waiting task.
 #[test]
-fn those_who_wait_hear_of_a_board_that_this_vm_posts() {
+fn publishing_a_report_wakes_waiting_tasks() {
     let hall = unknown_hall();
     let now = Instant::now();
 
@@ -203,15 +216,16 @@
             true
         };
         let post = async {
-            hall.publish_report(now, board("a", 0, 1, 5));
+            hall.publish_report(now, hall_report("a", 0, 1, 5));
             std::future::pending::<bool>().await
         };
         assert!(futures_lite::future::or(report_published, post).await);
     });
 }
 
+/// A task is registered once, however often it waits.
 #[test]
-fn a_task_that_waits_again_and_again_is_woken_once() {
+fn a_task_that_waits_repeatedly_is_woken_once() {
     let hall = unknown_hall();
     let woken = Arc::new(CountingWaker::default());
     let waker = Waker::from(woken.clone());
@@ -221,12 +235,12 @@
         let mut waiting = pin!(hall.report_published());
         assert!(waiting.as_mut().poll(&mut context).is_pending());
     }
-    hall.publish_report(Instant::now(), board("a", 0, 1, 5));
+    hall.publish_report(Instant::now(), hall_report("a", 0, 1, 5));
 
     assert_eq!(woken.0.load(Ordering::Relaxed), 1);
 }
 
-/// Counts how often it wakes.
+/// Counts its wake-ups.
 #[derive(Debug, Default)]
 struct CountingWaker(AtomicUsize);
 
@@ -240,8 +254,9 @@
     std::net::SocketAddr::from(([10, 0, 0, number], 7000))
 }
 
+/// The follower with the highest score is chosen if it reaches the least score.
 #[test]
-fn the_strongest_vm_that_asks_is_the_heir_if_it_is_strong_enough() {
+fn the_follower_with_the_highest_score_succeeds_if_it_is_high_enough() {
     let (hall, now) = (unknown_hall(), Instant::now());
     hall.on_follower("weak", peer(1), 2.4, None, now);
     hall.on_follower("strong", peer(2), 100.0, None, now);
@@ -250,8 +265,8 @@
     assert_eq!(hall.best_follower(now, 200.0), None);
 }
 
-/// The heir of a hall whose VMs are alike in strength, when they asked in this order.
-fn drawn_heir(seed: u64, vms: [u8; 3]) -> Option<std::net::SocketAddr> {
+/// The follower chosen among equals that sent requests in this order.
+fn drawn_successor(seed: u64, vms: [u8; 3]) -> Option<std::net::SocketAddr> {
     let (hall, now) = (Hall::new(Chance::with_seed(seed)), Instant::now());
     for number in vms {
         hall.on_follower(&number.to_string(), peer(number), 5.0, None, now);
@@ -259,18 +274,23 @@
     hall.best_follower(now, 0.0).map(|(_, peer)| peer)
 }
 
+/// The choice among equals depends only on the random source, not on the order of requests.
 #[test]
-fn of_vms_alike_in_strength_the_heir_is_drawn_by_the_chance_that_is_handed_in() {
-    let heirs: Vec<_> = (0..100).map(|seed| drawn_heir(seed, [1, 2, 3])).collect();
+fn among_equal_followers_the_successor_is_drawn_from_the_given_random_source() {
+    let successors: Vec<_> = (0..100).map(|seed| drawn_successor(seed, [1, 2, 3])).collect();
 
-    let again: Vec<_> = (0..100).map(|seed| drawn_heir(seed, [3, 1, 2])).collect();
+    let again: Vec<_> = (0..100).map(|seed| drawn_successor(seed, [3, 1, 2])).collect();
 
-    assert_eq!(heirs, again);
-    assert!([1, 2, 3].iter().all(|number| heirs.contains(&Some(peer(*number)))), "{heirs:?}");
+    assert_eq!(successors, again);
+    assert!(
+        [1, 2, 3].iter().all(|number| successors.contains(&Some(peer(*number)))),
+        "{successors:?}"
+    );
 }
 
+/// A VM with score 0 or without recent requests is never chosen.
 #[test]
-fn a_vm_that_stops_or_has_not_asked_lately_is_no_heir() {
+fn a_stopping_or_silent_follower_is_no_successor() {
     let (hall, now) = (unknown_hall(), Instant::now());
     hall.on_follower("stopping", peer(1), 0.0, None, now);
     hall.on_follower("silent", peer(2), 100.0, None, now);
@@ -281,8 +301,9 @@
     assert_eq!(hall.best_follower(later, 0.0), None);
 }
 
+/// A redirect to the VM itself nominates it, once.
 #[test]
-fn a_vm_that_is_sent_on_to_itself_is_called_to_lead_once() {
+fn a_vm_redirected_to_itself_is_nominated_once() {
     let hall = unknown_hall();
 
     hall.on_redirect(peer(1), peer(1));
@@ -292,8 +313,9 @@
     assert!(!hall.take_nomination());
 }
 
+/// A redirect is followed until it fails.
 #[test]
-fn a_vm_asks_whom_it_was_sent_on_to_until_that_fails() {
+fn a_redirect_is_followed_until_it_fails() {
     let hall = unknown_hall();
 
     hall.on_redirect(peer(2), peer(1));
@@ -306,7 +328,7 @@
     assert_eq!(hall.redirect(), None);
 }
 
-/// A hall that this VM leads, and that hears of the leaders of others.
+/// A hall that this VM leads, with an update of another hall's leader.
 fn led_hall(now: Instant) -> Hall {
     let hall = unknown_hall();
     hall.acting_fence.set(Some(Revision::new(1, 1)));
@@ -314,8 +336,9 @@
     hall
 }
 
+/// Only the leader of a hall with a smaller name can be upstream.
 #[test]
-fn a_leader_relies_on_one_of_a_hall_before_its_own_that_follows_the_store() {
+fn a_leader_relies_on_one_of_a_hall_with_a_smaller_name_that_follows_the_store() {
     let now = Instant::now();
     let hall = led_hall(now);
 
@@ -324,13 +347,14 @@
     assert!(!hall.upstream_is_fresh("b", now, freshness()));
 }
 
+/// An upstream leader without recent updates or confirmations is not relied on.
 #[test]
-fn a_leader_that_follows_nobody_else_is_not_relied_on_for_long() {
+fn an_upstream_leader_without_recent_updates_is_not_relied_on() {
     let now = Instant::now();
     let hall = led_hall(now);
     let late = now + Duration::from_millis(1_300);
 
-    assert!(!hall.upstream_is_fresh("c", late, freshness()), "it was not heard of");
+    assert!(!hall.upstream_is_fresh("c", late, freshness()), "it sent no update");
 
     hall.on_other_leader_update("b", late, Some(now), true);
     assert!(hall.upstream_is_fresh("c", late, freshness()));
@@ -339,8 +363,9 @@
     assert!(!hall.upstream_is_fresh("c", stale, freshness()), "its confirmation is too old");
 }
 
+/// A leader that does not follow the store, or is lost, is not relied on.
 #[test]
-fn a_leader_that_is_told_itself_or_lost_is_not_relied_on() {
+fn a_leader_that_does_not_follow_the_store_or_is_lost_is_not_relied_on() {
     let now = Instant::now();
     let hall = led_hall(now);
 
@@ -352,6 +377,7 @@
     assert!(!hall.upstream_is_fresh("c", now, freshness()));
 }
 
+/// Only a leader relies on leaders of other halls.
 #[test]
 fn a_vm_that_does_not_lead_relies_on_its_own_leader_only() {
     let now = Instant::now();
@@ -362,18 +388,20 @@
     assert!(!hall.upstream_is_fresh("c", now, freshness()));
 }
 
+/// Engines that are no longer listed are dropped from the reports.
 #[test]
-fn engines_that_are_listed_no_more_leave_no_trace() {
+fn engines_that_are_no_longer_listed_are_dropped() {
     let (hall, now) = (unknown_hall(), Instant::now());
-    hall.reports.insert(now, board("a", 0, 1, 5));
+    hall.reports.insert(now, hall_report("a", 0, 1, 5));
 
     hall.reports.retain(|id| id != "e1");
 
     assert_eq!(hall.reports.engine("a", "e1", now, |engine| engine.state.running), None);
 }
 
+/// The source is the follower with the latest confirmation, if that is later than the leader's.
 #[test]
-fn a_leader_asks_the_vm_that_was_confirmed_last_if_that_was_after_itself() {
+fn the_source_is_the_follower_confirmed_last_if_later_than_the_leader() {
     let (hall, now) = (unknown_hall(), Instant::now() + Duration::from_secs(10));
     let age = |ms| Some(Duration::from_millis(ms));
     hall.on_follower("told", peer(1), 1.0, age(2_000), now);
@@ -386,29 +414,31 @@
     assert_eq!(hall.freshest_follower(now + Duration::from_secs(2), ago(2_000)), None);
 }
 
-fn asks(hall: &Hall, vm: &str, leader_score: f64, now: Instant) {
+fn request(hall: &Hall, vm: &str, leader_score: f64, now: Instant) {
     let peer = "10.0.0.2:7000".parse().expect("an address");
     hall.on_follower(vm, peer, leader_score, None, now);
 }
 
+/// Followers with a positive score count as fit, and at least half of the hall must be.
 #[test]
-fn a_leader_counts_the_vms_that_are_fit_and_leaves_its_work_to_them_only_if_they_suffice() {
+fn others_suffice_only_if_enough_followers_are_fit() {
     let (hall, now) = (unknown_hall(), Instant::now());
     hall.acting_fence.set(Some(Revision::new(1, 1)));
-    asks(&hall, "g2", 10.0, now);
-    asks(&hall, "g3", 0.0, now);
-    asks(&hall, "g4", 0.0, now);
+    request(&hall, "g2", 10.0, now);
+    request(&hall, "g3", 0.0, now);
+    request(&hall, "g4", 0.0, now);
 
     let counted = hall.vm_count(now, 5.0);
     let before = hall.others_suffice(now);
-    asks(&hall, "g3", 10.0, now);
+    request(&hall, "g3", 10.0, now);
 
     assert_eq!(counted, HallVms { vms: 4, fit: 2 });
     assert!(!before && hall.others_suffice(now));
 }
 
+/// Without a live leader other VMs are not counted on.
 #[test]
-fn a_vm_whose_leader_is_not_heard_knows_of_no_others() {
+fn a_vm_without_a_live_leader_counts_on_no_others() {
     let (hall, now) = (unknown_hall(), Instant::now());
     hall.on_hall_vms(HallVms { vms: 4, fit: 4 });
 
--- a/crates/sillbank_gateway/tests/knowledge.rs
+++ b/crates/sillbank_gateway/tests/knowledge.rs
@@ -1,4 +1,4 @@
-//! What a VM believes, and for how long it may act on it.
+//! A VM's view of the platform, and for how long it may be used.
 
 use sillbank_catalog::prelude::*;
 use sillbank_fleet::prelude::*;
@@ -14,10 +14,10 @@
     Revision::new(1, number)
 }
 
-fn offer(platform: &PlatformView, version: u64) -> bool {
+fn offer(view: &PlatformView, version: u64) -> bool {
     let parts = CatalogParts { version, ..CatalogParts::default() };
     let catalog = Catalog::new(parts.clone()).expect("it is valid");
-    platform.offer_catalog(catalog, parts)
+    view.offer_catalog(catalog, parts)
 }
 
 fn record(id: &str) -> EndpointRecord {
@@ -34,131 +34,157 @@
     }
 }
 
+/// A configuration expires before the time within which a revocation must be in force.
 #[test]
 fn a_configuration_is_fresh_for_less_than_a_revocation_may_take() {
-    let (platform, now) = (PlatformView::new(REVOCATION), Instant::now());
-    offer(&platform, 1);
+    let (view, now) = (PlatformView::new(REVOCATION), Instant::now());
+    offer(&view, 1);
 
-    platform.confirm_catalog(now, revision(1));
+    view.confirm_catalog(now, revision(1));
 
-    assert!(platform.is_fresh(now + Duration::from_millis(4_700)));
-    assert!(!platform.is_fresh(now + Duration::from_millis(4_800)));
+    assert!(view.is_fresh(now + Duration::from_millis(4_700)));
+    assert!(!view.is_fresh(now + Duration::from_millis(4_800)));
 }
 
-/// The steady clock does not count a suspension: a VM that slept for longer than a revocation may take relied on its keys
-/// for as long again.
+/// The monotonic clock does not count a suspension: a VM that was suspended for longer than a
+/// revocation may take accepted its keys for as long again.
 #[test]
-fn what_was_confirmed_before_a_suspension_is_older_by_it() {
+fn a_suspension_ages_earlier_confirmations() {
     // Arrange
-    let (platform, now) = (PlatformView::new(REVOCATION), Instant::now());
-    offer(&platform, 1);
-    platform.confirm_catalog(now, revision(1));
+    let (view, now) = (PlatformView::new(REVOCATION), Instant::now());
+    offer(&view, 1);
+    view.confirm_catalog(now, revision(1));
 
     // Act
-    platform.on_suspended(Duration::from_secs(3), now);
+    view.on_suspended(Duration::from_secs(3), now);
     let for_the_rest = now + Duration::from_millis(1_700);
-    let is_fresh = (platform.is_fresh(for_the_rest), platform.stamp(now).catalog_age_ms);
-    platform.on_suspended(Duration::from_secs(3), now);
+    let is_fresh = (view.is_fresh(for_the_rest), view.stamp(now).catalog_age_ms);
+    view.on_suspended(Duration::from_secs(3), now);
 
     // Assert
     assert_eq!(is_fresh, (true, Some(3_000)));
-    assert!(!platform.is_fresh(now));
+    assert!(!view.is_fresh(now));
 }
 
+/// Answers to requests from before a suspension are of unknown age.
 #[test]
-fn what_was_asked_before_a_suspension_confirms_nothing() {
+fn answers_to_requests_before_a_suspension_confirm_nothing() {
     // Arrange
-    let (platform, asked) = (PlatformView::new(REVOCATION), Instant::now());
+    let (view, asked) = (PlatformView::new(REVOCATION), Instant::now());
     let woken = asked + Duration::from_millis(100);
 
     // Act
-    platform.on_suspended(Duration::from_secs(9), woken);
+    view.on_suspended(Duration::from_secs(9), woken);
 
     // Assert
-    assert!(platform.was_suspended_since(asked));
-    assert!(!platform.was_suspended_since(woken + Duration::from_millis(1)));
+    assert!(view.was_suspended_since(asked));
+    assert!(!view.was_suspended_since(woken + Duration::from_millis(1)));
 }
 
+/// A confirmation alone does not make the view fresh.
 #[test]
 fn a_confirmation_without_a_configuration_means_nothing() {
-    let (platform, now) = (PlatformView::new(REVOCATION), Instant::now());
+    let (view, now) = (PlatformView::new(REVOCATION), Instant::now());
 
-    platform.confirm_catalog(now, revision(1));
+    view.confirm_catalog(now, revision(1));
 
-    assert!(!platform.is_fresh(now));
+    assert!(!view.is_fresh(now));
 }
 
+/// Configurations may arrive in any order; the newest stays in force.
 #[test]
 fn versions_only_rise_whatever_order_they_come_in() {
     for_fixed_seeds(200, 128, |u| {
-        let platform = PlatformView::new(REVOCATION);
+        let view = PlatformView::new(REVOCATION);
         let mut newest = 0;
         for _ in 0..u.int_in_range(1..=20)? {
             let version = u.int_in_range(1..=30)?;
-            let taken = offer(&platform, version);
+            let taken = offer(&view, version);
             assert_eq!(taken, version > newest);
             newest = newest.max(version);
-            assert_eq!(platform.catalog().map(|catalog| catalog.version()), Some(newest));
+            assert_eq!(view.catalog().map(|catalog| catalog.version()), Some(newest));
         }
         Ok(())
     });
 }
 
-/// What a leader that knows only these endpoints tells a VM that has seen nothing of it.
-fn told_by_leader(ids: &[&str], most: usize) -> Difference {
+/// Difference sent by a leader that knows only these endpoints to a VM that knows nothing of it.
+fn difference_from_leader(ids: &[&str], most: usize) -> Difference {
     let mut leader = Directory::default();
     let records: Vec<_> = ids.iter().map(|id| record(id)).collect();
     leader.on_listing(Instant::now(), records);
     leader.difference(Instant::now(), 0, most)
 }
 
-fn knowledge_of_two() -> PlatformView {
-    let platform = PlatformView::new(REVOCATION);
+fn view_of_two() -> PlatformView {
+    let view = PlatformView::new(REVOCATION);
     let list = Snapshot { at: revision(9), value: vec![record("a"), record("b")] };
-    platform.apply_listing(Instant::now(), list);
-    platform
+    view.apply_listing(Instant::now(), list);
+    view
 }
 
+/// A list older than the known one changes nothing.
 #[test]
-fn an_older_list_from_a_leader_is_left() {
-    let (platform, mut replication) = (knowledge_of_two(), Replication::default());
+fn an_older_list_from_a_leader_is_ignored() {
+    let (view, mut replication) = (view_of_two(), Replication::default());
 
-    let gone =
-        platform.apply_difference(&mut replication, revision(8), told_by_leader(&["b"], 10), true);
+    let gone = view.apply_difference(
+        &mut replication,
+        revision(8),
+        difference_from_leader(&["b"], 10),
+        true,
+    );
 
     assert!(gone.is_empty());
-    assert_eq!(platform.endpoints(Directory::len), 2);
-    assert_eq!(platform.endpoints_at(), revision(9));
+    assert_eq!(view.endpoints(Directory::len), 2);
+    assert_eq!(view.endpoints_at(), revision(9));
 }
 
+/// A newer list removes the endpoints that it lacks.
 #[test]
 fn a_newer_list_from_a_leader_replaces_all() {
-    let (platform, mut replication) = (knowledge_of_two(), Replication::default());
+    let (view, mut replication) = (view_of_two(), Replication::default());
 
-    let gone =
-        platform.apply_difference(&mut replication, revision(10), told_by_leader(&["b"], 10), true);
+    let gone = view.apply_difference(
+        &mut replication,
+        revision(10),
+        difference_from_leader(&["b"], 10),
+        true,
+    );
 
     assert_eq!(gone, vec!["a".to_owned()]);
-    assert_eq!(platform.endpoints_at(), revision(10));
+    assert_eq!(view.endpoints_at(), revision(10));
 }
 
+/// Endpoints count as known only after the last piece of the list.
 #[test]
-fn a_list_of_which_a_piece_was_told_is_not_known_yet() {
-    let (platform, mut replication) = (PlatformView::new(REVOCATION), Replication::default());
+fn an_incomplete_list_is_not_known_yet() {
+    let (view, mut replication) = (PlatformView::new(REVOCATION), Replication::default());
 
-    platform.apply_difference(&mut replication, revision(10), told_by_leader(&["a", "b"], 1), true);
+    view.apply_difference(
+        &mut replication,
+        revision(10),
+        difference_from_leader(&["a", "b"], 1),
+        true,
+    );
 
-    assert!(!platform.knows_endpoints());
+    assert!(!view.knows_endpoints());
 }
 
+/// An unwanted list is not applied, and is requested again once it is wanted.
 #[test]
-fn a_list_that_is_not_wanted_is_asked_for_anew_when_it_is() {
-    let (platform, mut replication) = (knowledge_of_two(), Replication::default());
-    platform.apply_difference(&mut replication, revision(10), told_by_leader(&["b"], 10), false);
-    assert_eq!(platform.endpoints(Directory::len), 2);
+fn an_unwanted_list_is_requested_again_once_it_is_wanted() {
+    let (view, mut replication) = (view_of_two(), Replication::default());
+    view.apply_difference(
+        &mut replication,
+        revision(10),
+        difference_from_leader(&["b"], 10),
+        false,
+    );
+    assert_eq!(view.endpoints(Directory::len), 2);
 
     let nothing_new = Difference { begins_anew: false, changes: vec![], goes_on: false, seen: 1 };
-    platform.apply_difference(&mut replication, revision(10), nothing_new, true);
+    view.apply_difference(&mut replication, revision(10), nothing_new, true);
 
     assert_eq!(replication.seen(), 0);
 }
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -1,4 +1,4 @@
-//! Who is let in, from what leaders tell of engines and what engines refuse to this VM.
+//! Load shedding by the engine states that leaders report and by what engines refuse to this VM.
 
 #[path = "support/engines.rs"]
 mod engines;
@@ -26,7 +26,7 @@
 const HOME: &str = "a";
 const OBJECTIVE: Duration = Duration::from_millis(500);
 const USUAL_LEFT: Duration = Duration::from_secs(2);
-const NEWS: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 fn route() -> Route {
     Route {
@@ -70,7 +70,7 @@
     }
 }
 
-/// A VM that knows of two engines for each half of the layers.
+/// A VM that knows two engines for each half of the layers.
 struct Vm {
     platform: PlatformView,
     hall: Hall,
@@ -119,17 +119,17 @@
         }
     }
 
-    /// Tells that all engines are so full.
-    fn tell(&self, after: Duration, kv_permille: u16) {
+    /// Reports the same used share for all engines.
+    fn report_all(&self, after: Duration, kv_permille: u16) {
         let ids = [("low-1", 0), ("low-2", 0), ("high-1", 10), ("high-2", 10)];
         let engines = ids.map(|(id, first)| engine(id, first, first + 10, kv_permille)).to_vec();
-        self.tell_engines(after, "10.0.0.1:7000", engines);
+        self.report_engines(after, "10.0.0.1:7000", engines);
     }
 
-    fn tell_engines(&self, after: Duration, leader: &str, engines: Vec<EngineState>) {
+    fn report_engines(&self, after: Duration, leader: &str, engines: Vec<EngineState>) {
         let leader = leader.parse().expect("an address");
         let hall = HOME.to_owned();
-        let board = HallReport {
+        let report = HallReport {
             hall,
             age_ms: 0,
             vms: 1,
@@ -138,12 +138,12 @@
             engines,
             demand: None,
         };
-        self.hall.reports.insert(self.start + after, board);
+        self.hall.reports.insert(self.start + after, report);
     }
 
-    fn ask(&self, after: Duration, rank: u8, left: Duration) -> Result<(), NotAdmitted> {
+    fn request(&self, after: Duration, rank: u8, left: Duration) -> Result<(), NotAdmitted> {
         let figures = self.service.engine.as_ref().expect("it has one");
-        let ask = AdmissionRequest {
+        let request = AdmissionRequest {
             service: &self.service,
             figures,
             route: &self.route,
@@ -151,14 +151,15 @@
             left: Some(left),
             draw: 0.5,
         };
-        self.load.admit(self.routing_context(after), ask)
+        self.load.admit(self.routing_context(after), request)
     }
 
-    /// Requests of three ranks for some quarters of a second; answers what the last of them got.
-    fn ask_all(&self, quarters: std::ops::Range<u32>) -> [Result<(), NotAdmitted>; 3] {
+    /// Requests of three ranks for some quarters of a second. Returns the last decision for each.
+    fn request_all(&self, quarters: std::ops::Range<u32>) -> [Result<(), NotAdmitted>; 3] {
         let mut answers = [Ok(()); 3];
         for quarter in quarters {
-            answers = [0, 1, 2].map(|rank| self.ask(NEWS * quarter, rank, USUAL_LEFT));
+            answers =
+                [0, 1, 2].map(|rank| self.request(REPORT_INTERVAL * quarter, rank, USUAL_LEFT));
         }
         answers
     }
@@ -169,149 +170,160 @@
     }
 }
 
-/// All engines are full for two seconds.
+/// When all engines are full for two seconds, the least urgent requests are shed.
 #[test]
-fn full_engines_hold_the_least_urgent_back() {
+fn full_engines_shed_the_least_urgent_requests() {
     let vm = Vm::new();
     let mut answers = [Ok(()); 3];
     for quarter in 0..8 {
-        vm.tell(NEWS * quarter, 1_000);
-        answers = vm.ask_all(quarter..quarter + 1);
+        vm.report_all(REPORT_INTERVAL * quarter, 1_000);
+        answers = vm.request_all(quarter..quarter + 1);
     }
 
     assert_eq!(answers[0], Ok(()));
     assert_eq!(answers[2], Err(NotAdmitted { fullness: 1.0, is_late: false }));
-    let believed = vm.load.estimate("gen").expect("it was asked");
-    assert_eq!(believed.fullness, 1.0);
-    assert!((0.3..0.7).contains(&believed.share), "{believed:?}");
+    let estimate = vm.load.estimate("gen").expect("it was asked");
+    assert_eq!(estimate.fullness, 1.0);
+    assert!((0.3..0.7).contains(&estimate.share), "{estimate:?}");
 }
 
+/// Nothing is shed while engines have room.
 #[test]
-fn engines_with_room_hold_nobody_back() {
+fn engines_with_room_shed_nothing() {
     let vm = Vm::new();
     let mut answers = [Ok(()); 3];
     for quarter in 0..20 {
-        vm.tell(NEWS * quarter, 600);
-        answers = vm.ask_all(quarter..quarter + 1);
+        vm.report_all(REPORT_INTERVAL * quarter, 600);
+        answers = vm.request_all(quarter..quarter + 1);
     }
 
     assert_eq!(answers, [Ok(()); 3]);
 }
 
-/// The caller comes back with less time than others of its route have, after the objective.
+/// A caller that returns with less time than others of its route, after the objective, is shed
+/// first.
 #[test]
-fn who_comes_too_late_goes_behind_the_least_urgent() {
+fn late_requests_are_shed_before_the_least_urgent() {
     let vm = Vm::new();
     for quarter in 0..10 {
-        vm.tell(NEWS * quarter, if quarter < 5 { 800 } else { 1_000 });
-        let _ = vm.ask_all(quarter..quarter + 1);
+        vm.report_all(REPORT_INTERVAL * quarter, if quarter < 5 { 800 } else { 1_000 });
+        let _ = vm.request_all(quarter..quarter + 1);
     }
 
-    let late = vm.ask(NEWS * 10, 0, USUAL_LEFT - OBJECTIVE * 2);
-    let in_time = vm.ask(NEWS * 10, 0, USUAL_LEFT - OBJECTIVE / 2);
+    let late = vm.request(REPORT_INTERVAL * 10, 0, USUAL_LEFT - OBJECTIVE * 2);
+    let in_time = vm.request(REPORT_INTERVAL * 10, 0, USUAL_LEFT - OBJECTIVE / 2);
 
     assert_eq!(late, Err(NotAdmitted { fullness: 1.0, is_late: true }));
     assert_eq!(in_time, Ok(()));
 }
 
-/// The leader falls silent: its last board tells of full engines, and is believed for two seconds.
+/// When the leader falls silent, its last report is used for two seconds, and then the VM's own
+/// refusals.
 #[test]
-fn an_old_board_leaves_a_vm_to_its_own_evidence() {
+fn without_recent_reports_a_vm_uses_its_own_refusals() {
     let (vm, refused) = (Vm::new(), Vm::new());
     for vm in [&vm, &refused] {
-        vm.tell(Duration::ZERO, 1_000);
-        let _ = vm.ask_all(0..8);
-        assert_eq!(vm.fullness(NEWS * 7), Some(1.0));
-        assert_eq!(vm.fullness(NEWS * 8), None);
+        vm.report_all(Duration::ZERO, 1_000);
+        let _ = vm.request_all(0..8);
+        assert_eq!(vm.fullness(REPORT_INTERVAL * 7), Some(1.0));
+        assert_eq!(vm.fullness(REPORT_INTERVAL * 8), None);
     }
 
-    let let_in = vm.ask_all(8..20);
-    let mut held_back = [Ok(()); 3];
+    let admitted = vm.request_all(8..20);
+    let mut shed = [Ok(()); 3];
     for quarter in 8..20 {
-        (0..5).for_each(|_| refused.load.on_sent("gen", false, refused.start + NEWS * quarter));
-        held_back = refused.ask_all(quarter..quarter + 1);
+        (0..5).for_each(|_| {
+            refused.load.on_sent("gen", false, refused.start + REPORT_INTERVAL * quarter)
+        });
+        shed = refused.request_all(quarter..quarter + 1);
     }
 
-    assert_eq!(let_in, [Ok(()); 3]);
-    assert_eq!(held_back[2], Err(NotAdmitted { fullness: 1.0, is_late: false }));
+    assert_eq!(admitted, [Ok(()); 3]);
+    assert_eq!(shed[2], Err(NotAdmitted { fullness: 1.0, is_late: false }));
 }
 
+/// The capacity of a lost engine is not counted.
 #[test]
-fn room_of_a_lost_engine_does_not_count() {
+fn a_lost_engine_does_not_count() {
     let vm = Vm::new();
     let lost = EngineState { is_lost: true, ..engine("low-2", 0, 10, 0) };
     let high = engine("high-1", 10, LAYERS, 0);
 
-    let beside = |low: EngineState| {
+    let with = |low: EngineState| {
         let engines = vec![engine("low-1", 0, 10, 1_000), low, high.clone()];
         let vm = Vm::new();
-        vm.tell_engines(Duration::ZERO, "10.0.0.1:7000", engines);
+        vm.report_engines(Duration::ZERO, "10.0.0.1:7000", engines);
         vm.fullness(Duration::ZERO)
     };
 
-    assert_eq!(beside(lost), Some(1.0));
-    assert_eq!(beside(engine("low-2", 0, 10, 0)), Some(0.0));
+    assert_eq!(with(lost), Some(1.0));
+    assert_eq!(with(engine("low-2", 0, 10, 0)), Some(0.0));
     assert_eq!(vm.fullness(Duration::ZERO), None);
 }
 
-/// An engine that began again under its id, as its own entry tells, holds nothing of what was told of it before.
+/// Reports on an engine from before its restart are not counted.
 #[test]
-fn what_was_told_of_an_older_life_does_not_count() {
+fn reports_of_an_earlier_incarnation_do_not_count() {
     let vm = Vm::new();
     let mut records: Vec<EndpointRecord> = vec![record("low-1", 0, 10), record("high-1", 10, 20)];
     records[0].born_ms = Some(2);
     vm.platform.apply_listing(vm.start, Snapshot { at: Revision::new(1, 2), value: records });
 
-    let told_of = |born_ms| {
+    let fullness_reported_by = |born_ms| {
         let low = EngineState { born_ms, ..engine("low-1", 0, 10, 500) };
         let engines = vec![low, engine("high-1", 10, LAYERS, 500)];
         let after = Duration::from_millis(born_ms.unwrap_or(0));
-        vm.tell_engines(after, "10.0.0.1:7000", engines);
+        vm.report_engines(after, "10.0.0.1:7000", engines);
         vm.fullness(after)
     };
 
-    assert_eq!(told_of(Some(1)), None);
-    assert_eq!(told_of(Some(2)), Some(0.5));
+    assert_eq!(fullness_reported_by(Some(1)), None);
+    assert_eq!(fullness_reported_by(Some(2)), Some(0.5));
 }
 
-/// Its leader tells that an engine holds layers that the model does not have: no path uses it.
+/// An engine that reports layers beyond the model is not counted, as no path uses it.
 #[test]
 fn an_engine_with_layers_that_the_model_does_not_have_does_not_count() {
     let vm = Vm::new();
     let absurd = engine("high-2", 10, LAYERS + 5, 0);
     let engines = vec![engine("low-1", 0, 10, 500), engine("high-1", 10, LAYERS, 1_000), absurd];
 
-    vm.tell_engines(Duration::ZERO, "10.0.0.1:7000", engines);
+    vm.report_engines(Duration::ZERO, "10.0.0.1:7000", engines);
 
     assert_eq!(vm.fullness(Duration::ZERO), Some(1.0));
 }
 
-/// Engines that no request can pass whole have no room to share out.
+/// If no request can pass all layers, no capacity is known, and nothing is shed.
 #[test]
-fn engines_that_leave_a_layer_out_hold_nobody_back() {
+fn engines_with_a_missing_layer_shed_nothing() {
     let vm = Vm::new();
     for quarter in 0..20 {
-        vm.tell_engines(NEWS * quarter, "10.0.0.1:7000", vec![engine("low-1", 0, 10, 1_000)]);
-        let answers = vm.ask_all(quarter..quarter + 1);
+        vm.report_engines(
+            REPORT_INTERVAL * quarter,
+            "10.0.0.1:7000",
+            vec![engine("low-1", 0, 10, 1_000)],
+        );
+        let answers = vm.request_all(quarter..quarter + 1);
         assert_eq!(answers, [Ok(()); 3]);
     }
 }
 
+/// Without engine figures nothing is shed.
 #[test]
-fn without_figures_everybody_is_let_in() {
+fn without_figures_every_request_is_admitted() {
     let mut vm = Vm::new();
     vm.service.engine.as_mut().expect("it has one").accelerators.clear();
 
     for quarter in 0..20 {
-        vm.tell(NEWS * quarter, 1_000);
-        let answers = vm.ask_all(quarter..quarter + 1);
+        vm.report_all(REPORT_INTERVAL * quarter, 1_000);
+        let answers = vm.request_all(quarter..quarter + 1);
         assert_eq!(answers, [Ok(()); 3]);
     }
 }
 
-/// An old leader and a new one tell of the same hall for a while; the newest board counts, whoever tells it.
+/// When an old and a new leader report on the same hall, only the newest report counts.
 #[test]
-fn two_boards_of_one_hall_count_once() {
+fn two_reports_of_one_hall_count_once() {
     let vm = Vm::new();
     let figures = vm.service.engine.as_ref().expect("it has one");
     let room = |after| fleet_capacity(vm.routing_context(after), &vm.service, figures);
@@ -320,30 +332,31 @@
     };
     let (first, second) = (Duration::from_millis(1), Duration::from_millis(2));
 
-    vm.tell_engines(first, "10.0.0.1:7000", whole(200));
+    vm.report_engines(first, "10.0.0.1:7000", whole(200));
     let of_one = room(second);
-    vm.tell_engines(second, "10.0.0.2:7000", whole(800));
-    vm.tell_engines(first, "10.0.0.1:7000", whole(200));
+    vm.report_engines(second, "10.0.0.2:7000", whole(800));
+    vm.report_engines(first, "10.0.0.1:7000", whole(200));
     let of_two = room(second);
 
     assert_eq!(of_two.capacity, of_one.capacity);
     assert_eq!(of_two.fullness().map(|part| (part * 1_000.0).round()), Some(800.0));
 }
 
-/// Whatever number was drawn: with room nobody is refused by chance.
+/// No random number leads to shedding while there is room.
 #[test]
-fn no_draw_refuses_a_request_that_has_room() {
+fn no_random_number_refuses_a_request_that_fits() {
     let vm = Vm::new();
     let figures = vm.service.engine.as_ref().expect("it has one");
     for draw in [0.0, 1.0, f64::NAN] {
         let urgency = Urgency { organisation: 9, route: 9 };
         let (service, route) = (&vm.service, &vm.route);
-        let ask = AdmissionRequest { service, figures, route, urgency, left: None, draw };
+        let request = AdmissionRequest { service, figures, route, urgency, left: None, draw };
 
-        assert_eq!(vm.load.admit(vm.routing_context(Duration::ZERO), ask), Ok(()), "{draw}");
+        assert_eq!(vm.load.admit(vm.routing_context(Duration::ZERO), request), Ok(()), "{draw}");
     }
 }
 
+/// Requests are counted by rank and outcome; ranks beyond the last are counted as the last.
 #[test]
 fn requests_are_counted_by_rank_and_end_and_absurd_ranks_as_the_last() {
     let metrics = LadderMetrics::default();
@@ -362,16 +375,17 @@
     assert_eq!(count(15, "refused_late"), 200);
 }
 
-/// Requests that have just begun hold little memory: they count as what they use, and by their places.
+/// Requests that have just started hold little memory: they count by what they use, and by their
+/// slots.
 #[test]
-fn engines_are_as_full_as_their_memory_or_their_places() {
+fn engines_are_as_full_as_their_memory_or_their_slots() {
     let fullness = |running, kv_permille| {
         let vm = Vm::new();
         let ids = [("low-1", 0), ("high-1", 10)];
         let of =
             |(id, first)| EngineState { running, ..engine(id, first, first + 10, kv_permille) };
-        vm.tell_engines(Duration::ZERO, "10.0.0.1:7000", ids.map(of).to_vec());
-        vm.fullness(Duration::ZERO).expect("boards tell of engines")
+        vm.report_engines(Duration::ZERO, "10.0.0.1:7000", ids.map(of).to_vec());
+        vm.fullness(Duration::ZERO).expect("reports list engines")
     };
 
     let [young, placed] = [fullness(SLOTS / 2, 600), fullness(SLOTS, 600)];
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Which engines a request's path takes: those with places, room and their usual speed.
+//! The choice of a path among engines by free slots, free KV cache and speed.
 
 #[path = "support/engines.rs"]
 mod engines;
@@ -23,7 +23,7 @@
 use std::time::{Duration, Instant};
 
 const HOME: &str = "a";
-/// Sequences of chance, which has a part in the cost of an engine, that a choice is looked at with.
+/// Seeds for tests that cover the random part of an engine's cost.
 const SEEDS: std::ops::Range<u64> = 0..1_000;
 
 fn record(id: &str, kind: &str, first: u16, end: u16) -> EndpointRecord {
@@ -40,7 +40,7 @@
     }
 }
 
-/// What an engine of `record` reports when nothing runs there.
+/// State reported by an idle engine of `record`.
 fn idle(record: &EndpointRecord) -> EngineState {
     EngineState {
         id: record.id.clone(),
@@ -54,24 +54,27 @@
     }
 }
 
-/// Endpoints of the path that is chosen when engines report so.
+/// Endpoints of the path chosen for these engine states.
 fn chosen(records: &[EndpointRecord], engines: Vec<EngineState>) -> Vec<EndpointId> {
     chosen_by(SEEDS.start, records, engines)
 }
 
-/// The same for each of many sequences of chance.
-fn chosen_often(records: &[EndpointRecord], engines: &[EngineState]) -> Vec<Vec<EndpointId>> {
+/// The same for each of many seeds.
+fn chosen_by_each_seed(
+    records: &[EndpointRecord],
+    engines: &[EngineState],
+) -> Vec<Vec<EndpointId>> {
     SEEDS.map(|seed| chosen_by(seed, records, engines.to_vec())).collect()
 }
 
 fn chosen_by(seed: u64, records: &[EndpointRecord], engines: Vec<EngineState>) -> Vec<EndpointId> {
     let chance = Chance::with_seed(seed);
-    let path = path_beside(records, engines, &Rc::default(), &chance).expect("there is one");
+    let path = path_with_load(records, engines, &Rc::default(), &chance).expect("there is one");
     path.parts().iter().map(|part| part.endpoint.clone()).collect()
 }
 
-/// What the leader of a hall of one VM tells of its engines.
-fn board(hall: &str, engines: Vec<EngineState>) -> HallReport {
+/// Report of the leader of a hall with one VM.
+fn hall_report(hall: &str, engines: Vec<EngineState>) -> HallReport {
     HallReport {
         hall: hall.to_owned(),
         age_ms: 0,
@@ -83,8 +86,8 @@
     }
 }
 
-/// The path that is chosen when engines report so and this VM has work in flight.
-fn path_beside(
+/// The path chosen for these engine states while this VM has work in flight.
+fn path_with_load(
     records: &[EndpointRecord],
     engines: Vec<EngineState>,
     endpoint_tracker: &Rc<EndpointTracker>,
@@ -92,12 +95,12 @@
 ) -> Option<LayerPath> {
     let now = Instant::now();
     let vm = Vm { endpoint_tracker: endpoint_tracker.clone(), ..Vm::new(chance) };
-    vm.knows(records);
-    vm.hall.reports.insert(now, board(HOME, engines));
-    path_by(&service(), vm.routing_context(now))
+    vm.set_endpoints(records);
+    vm.hall.reports.insert(now, hall_report(HOME, engines));
+    path_for(&service(), vm.routing_context(now))
 }
 
-/// What a VM chooses paths by.
+/// State from which a VM chooses paths.
 struct Vm {
     platform: PlatformView,
     hall: Hall,
@@ -107,7 +110,7 @@
 }
 
 impl Vm {
-    /// It knows nothing yet.
+    /// A VM that knows nothing yet.
     fn new(chance: &Chance) -> Self {
         Self {
             platform: PlatformView::new(Duration::from_secs(5)),
@@ -118,7 +121,7 @@
         }
     }
 
-    fn knows(&self, records: &[EndpointRecord]) {
+    fn set_endpoints(&self, records: &[EndpointRecord]) {
         let list = Snapshot { at: Revision::new(1, 1), value: records.to_vec() };
         self.platform.apply_listing(Instant::now(), list);
     }
@@ -143,26 +146,28 @@
     Chance::with_seed(SEEDS.start)
 }
 
-fn path_by(service: &Service, context: RoutingContext<'_>) -> Option<LayerPath> {
+fn path_for(service: &Service, context: RoutingContext<'_>) -> Option<LayerPath> {
     let figures = service.engine.as_ref().expect("it has one");
     let demand = Demand::usual(figures);
-    let ask = PathRequest { service, figures, home: HOME, avoid: &[], demand };
-    choose_path(context, ask)
+    let request = PathRequest { service, figures, local_hall: HOME, avoid: &[], demand };
+    choose_path(context, request)
 }
 
+/// The choice among equal engines is random, and reproducible from the seed.
 #[test]
-fn among_engines_alike_chance_chooses_and_the_same_chance_chooses_the_same() {
+fn the_choice_among_equal_engines_is_random_and_reproducible() {
     let records = [record("one", "slow", 0, LAYERS), record("other", "slow", 0, LAYERS)];
     let engines: Vec<EngineState> = records.iter().map(idle).collect();
 
-    let paths = chosen_often(&records, &engines);
+    let paths = chosen_by_each_seed(&records, &engines);
 
-    assert_eq!(paths, chosen_often(&records, &engines));
+    assert_eq!(paths, chosen_by_each_seed(&records, &engines));
     assert!(paths.contains(&vec!["one".to_owned()]) && paths.contains(&vec!["other".to_owned()]));
 }
 
+/// No new path starts at an engine without free slots.
 #[test]
-fn a_first_engine_without_places_is_left_to_those_it_has() {
+fn a_first_engine_without_free_slots_gets_no_new_path() {
     // Arrange
     let records = [
         record("quick", "quick", 0, 10),
@@ -181,8 +186,9 @@
     assert_eq!(path, ["slow", "last"]);
 }
 
+/// Slots only limit the first engine of a path.
 #[test]
-fn places_bind_only_the_first_engine_of_a_path() {
+fn slots_only_limit_the_first_engine_of_a_path() {
     let records = [
         record("first", "slow", 0, 18),
         record("quick", "quick", 18, 20),
@@ -197,8 +203,9 @@
     assert_eq!(path, ["first", "quick"]);
 }
 
+/// An engine that reports a slowdown is used less.
 #[test]
-fn an_engine_that_reports_that_it_is_slow_is_used_less() {
+fn an_engine_that_reports_a_slowdown_is_avoided() {
     let records = [
         record("first", "slow", 0, 10),
         record("slowed", "slow", 10, 20),
@@ -208,15 +215,16 @@
     slowed.pace_permille = 4_000;
     let engines = vec![idle(&records[0]), slowed, idle(&records[2])];
 
-    let paths = chosen_often(&records, &engines);
+    let paths = chosen_by_each_seed(&records, &engines);
 
     assert!(paths.iter().all(|path| path == &["first", "well"]), "{paths:?}");
 }
 
+/// An engine whose time is used up is avoided even with free KV cache and slots.
 #[test]
-fn a_slow_engine_with_more_work_than_time_is_left_to_what_it_has() {
-    // Arrange: a quick accelerator at a twelfth of its speed, with room and places left, beside one that
-    // is well and whose KV cache is three quarters full.
+fn a_slow_engine_without_spare_time_gets_no_new_path() {
+    // Arrange: a fast accelerator at a twelfth of its speed, with free KV cache and slots, and one
+    // that runs normally and whose KV cache is three quarters full.
     let records = [
         record("slowed", "quick", 0, 13),
         record("well", "slow", 0, 13),
@@ -231,26 +239,28 @@
     let engines = vec![slowed, well, idle(&records[2])];
 
     // Act
-    let paths = chosen_often(&records, &engines);
+    let paths = chosen_by_each_seed(&records, &engines);
 
     // Assert
     assert!(paths.iter().all(|path| path == &["well", "last"]), "{paths:?}");
 }
 
+/// An engine without free KV cache is not part of a path.
 #[test]
-fn no_path_is_chosen_through_an_engine_without_room() {
+fn no_path_uses_an_engine_without_free_kv_cache() {
     let records = [record("first", "slow", 0, 10), record("last", "slow", 10, 20)];
     let mut full = idle(&records[1]);
     full.kv_permille = 960;
 
-    let path = path_beside(&records, vec![idle(&records[0]), full], &Rc::default(), &chance());
+    let path = path_with_load(&records, vec![idle(&records[0]), full], &Rc::default(), &chance());
 
     assert_eq!(path, None);
 }
 
+/// Work sent since the last report counts until it ends.
 #[test]
-fn what_this_vm_sent_since_the_report_counts_until_it_ends() {
-    // Arrange: an engine that reports no use, and a request of this VM that takes all it has.
+fn work_sent_since_the_report_counts_until_it_ends() {
+    // Arrange: an engine that reports no load, and a request of this VM that takes all of it.
     let records = [record("first", "slow", 0, 10), record("last", "slow", 10, 20)];
     let engines = || records.iter().map(idle).collect::<Vec<_>>();
     let endpoint_tracker = Rc::<EndpointTracker>::default();
@@ -258,34 +268,36 @@
 
     // Act
     let in_flight = endpoint_tracker.start(vec![whole], Instant::now());
-    let beside_it = path_beside(&records, engines(), &endpoint_tracker, &chance());
+    let during = path_with_load(&records, engines(), &endpoint_tracker, &chance());
     drop(in_flight);
-    let after_it = path_beside(&records, engines(), &endpoint_tracker, &chance());
+    let afterwards = path_with_load(&records, engines(), &endpoint_tracker, &chance());
 
     // Assert
-    assert_eq!(beside_it, None);
-    assert!(after_it.is_some());
+    assert_eq!(during, None);
+    assert!(afterwards.is_some());
 }
 
+/// An engine whose slots are all used cannot start a path.
 #[test]
-fn no_path_begins_at_an_engine_whose_places_are_taken() {
+fn no_path_starts_at_an_engine_without_free_slots() {
     let records = [record("first", "slow", 0, 10), record("last", "slow", 10, 20)];
     let mut full = idle(&records[0]);
     full.running = SLOTS;
 
-    let path = path_beside(&records, vec![full, idle(&records[1])], &Rc::default(), &chance());
+    let path = path_with_load(&records, vec![full, idle(&records[1])], &Rc::default(), &chance());
 
     assert_eq!(path, None);
 }
 
+/// Missing or absurd figures do not lead to refusals.
 #[test]
 fn figures_that_are_missing_or_absurd_refuse_nobody() {
     // Arrange
     let records = [record("first", "slow", 0, 10), record("last", "slow", 10, 20)];
     let now = Instant::now();
     let vm = Vm::new(&chance());
-    vm.knows(&records);
-    vm.hall.reports.insert(now, board(HOME, records.iter().map(idle).collect()));
+    vm.set_endpoints(&records);
+    vm.hall.reports.insert(now, hall_report(HOME, records.iter().map(idle).collect()));
     let context = vm.routing_context(now);
     let spoils: [fn(&mut EngineFigures); 6] = [
         |figures| figures.kv_token_bytes = 0.0,
@@ -300,51 +312,54 @@
         // Act
         let mut service = service();
         spoil(service.engine.as_mut().expect("it has one"));
-        let path = path_by(&service, context);
+        let path = path_for(&service, context);
 
         // Assert
         assert!(path.is_some(), "figures {number}");
     }
 }
 
-/// The path of a request when the engine at home and one of another hall, both holding all layers, have
-/// used so much of their KV cache.
-fn beside_another_hall(at_home_permille: u16, elsewhere_permille: u16) -> Option<LayerPath> {
+/// The path chosen when a local engine and one of another hall, both holding all layers, use so
+/// much of their KV cache.
+fn path_with_other_hall(local_permille: u16, remote_permille: u16) -> Option<LayerPath> {
     let now = Instant::now();
     let vm = Vm::new(&chance());
-    let at_home = record("home", "slow", 0, LAYERS);
-    let elsewhere = EndpointRecord { hall: "b".to_owned(), ..record("other", "quick", 0, LAYERS) };
+    let local = record("home", "slow", 0, LAYERS);
+    let remote = EndpointRecord { hall: "b".to_owned(), ..record("other", "quick", 0, LAYERS) };
     let full = |record: &EndpointRecord, kv_permille| {
-        board(&record.hall, vec![EngineState { kv_permille, ..idle(record) }])
+        hall_report(&record.hall, vec![EngineState { kv_permille, ..idle(record) }])
     };
-    vm.hall.reports.insert(now, full(&at_home, at_home_permille));
-    vm.hall.reports.insert(now, full(&elsewhere, elsewhere_permille));
-    vm.knows(&[at_home, elsewhere]);
-    path_by(&service(), vm.routing_context(now))
+    vm.hall.reports.insert(now, full(&local, local_permille));
+    vm.hall.reports.insert(now, full(&remote, remote_permille));
+    vm.set_endpoints(&[local, remote]);
+    path_for(&service(), vm.routing_context(now))
 }
 
+/// A local engine with spare time is preferred to a faster one elsewhere.
 #[test]
-fn a_request_stays_at_home_while_engines_there_have_time_to_spare() {
-    let path = beside_another_hall(0, 0).expect("there is one");
+fn a_request_stays_local_while_local_engines_have_spare_time() {
+    let path = path_with_other_hall(0, 0).expect("there is one");
 
     assert_eq!(path.first().endpoint, "home");
 }
 
+/// A full local engine makes the request cross to another hall.
 #[test]
-fn a_request_goes_to_another_hall_when_engines_at_home_have_no_room() {
-    let path = beside_another_hall(1_000, 0).expect("there is one");
+fn a_request_goes_to_another_hall_when_local_engines_are_full() {
+    let path = path_with_other_hall(1_000, 0).expect("there is one");
 
     assert_eq!(path.first().endpoint, "other");
 }
 
+/// No path is chosen when the engines of all halls are full.
 #[test]
 fn a_request_is_not_sent_when_no_hall_has_room() {
-    assert!(beside_another_hall(1_000, 1_000).is_none());
+    assert!(path_with_other_hall(1_000, 1_000).is_none());
 }
 
-/// Such an engine is not to be believed, whether its entry says so or its hall's leader heard it.
+/// Layers beyond the model are not trusted, whether the entry or the leader's report contains them.
 #[test]
-fn an_engine_that_tells_of_layers_beyond_the_model_runs_none() {
+fn an_engine_that_reports_layers_beyond_the_model_is_not_used() {
     let beyond = LayerRange { first: 0, end: LAYERS + 1 };
     let sound = record("sound", "slow", 0, LAYERS);
     let liar = record("liar", "quick", 0, LAYERS);
@@ -359,21 +374,23 @@
     assert_eq!(paths, [["sound"], ["sound"]]);
 }
 
+/// A suspected request is isolated on one engine, the same on all VMs, and never on the only one.
 #[test]
-fn one_first_engine_is_risked_for_a_request_that_may_end_it_and_never_the_only_one() {
+fn a_suspected_request_is_isolated_on_one_engine_and_never_the_only_one() {
     let ids = |ids: &[&str]| ids.iter().map(|id| (*id).to_owned()).collect::<Vec<_>>();
-    let risked = |firsts: &[&str], tried: &[&str]| {
+    let isolated_on = |firsts: &[&str], tried: &[&str]| {
         isolation_engine(&ids(firsts), &ids(tried)).map(String::as_str).map(str::to_owned)
     };
 
-    assert_eq!(risked(&["e1", "e2", "e3"], &[]).as_deref(), Some("e1"));
-    assert_eq!(risked(&["e1", "e2"], &["e1"]).as_deref(), Some("e2"));
-    assert_eq!(risked(&["e2"], &["e1"]), None);
-    assert_eq!(risked(&[], &[]), None);
+    assert_eq!(isolated_on(&["e1", "e2", "e3"], &[]).as_deref(), Some("e1"));
+    assert_eq!(isolated_on(&["e1", "e2"], &["e1"]).as_deref(), Some("e2"));
+    assert_eq!(isolated_on(&["e2"], &["e1"]), None);
+    assert_eq!(isolated_on(&[], &[]), None);
 }
 
+/// An engine that asked for a pause may run a later part of a path, but not start one.
 #[test]
-fn a_path_begins_at_no_engine_that_asked_for_rest_which_may_run_a_later_part() {
+fn an_engine_that_asked_for_a_pause_starts_no_path_but_may_run_a_later_part() {
     let now = Instant::now();
     let records = [
         record("near", "quick", 0, 10),
@@ -381,15 +398,15 @@
         record("last", "quick", 10, LAYERS),
     ];
     let vm = Vm::new(&chance());
-    vm.knows(&records);
-    vm.hall.reports.insert(now, board(HOME, records.iter().map(idle).collect()));
+    vm.set_endpoints(&records);
+    vm.hall.reports.insert(now, hall_report(HOME, records.iter().map(idle).collect()));
     let rest = Pushback { rest: RestWord::For(Duration::from_secs(3)), ..Pushback::default() };
     for engine in ["near", "last"] {
         vm.pushback.borrow_mut().on_answer(engine, None, rest, 0.5, now);
     }
 
-    let path = path_by(&service(), vm.routing_context(now)).expect("there is one");
-    let later = path_by(&service(), vm.routing_context(now + Duration::from_secs(3)))
+    let path = path_for(&service(), vm.routing_context(now)).expect("there is one");
+    let later = path_for(&service(), vm.routing_context(now + Duration::from_secs(3)))
         .expect("there is one");
 
     let ids = |path: &LayerPath| -> Vec<EndpointId> {
--- a/crates/sillbank_gateway/tests/reports.rs
+++ b/crates/sillbank_gateway/tests/reports.rs
@@ -1,4 +1,4 @@
-//! When engines are asked for reports, and when one is lost by what comes of that.
+//! When engines are polled for reports, and when missing reports make an engine count as lost.
 
 use sillbank_gateway::placement::{ReportOutcome, ReportSchedule, TrackedEngine};
 use sillbank_gateway::prelude::EngineReport;
@@ -18,82 +18,88 @@
     })
 }
 
-fn well() -> TrackedEngine {
+fn healthy() -> TrackedEngine {
     let mut engine = TrackedEngine::default();
-    engine.on_asked(report(), false);
+    engine.on_polled(report(), false);
     engine
 }
 
+/// A refused connection makes an engine count as lost at once.
 #[test]
 fn an_engine_whose_address_refuses_a_call_is_lost_at_once() {
-    let mut engine = well();
+    let mut engine = healthy();
 
-    engine.on_asked(ReportOutcome::Refused, false);
+    engine.on_polled(ReportOutcome::Refused, false);
 
     assert!(engine.report.is_none());
 }
 
+/// Only two consecutive missing reports make an engine count as lost.
 #[test]
 fn one_missing_report_is_no_loss_and_two_in_a_row_are() {
-    let mut engine = well();
+    let mut engine = healthy();
 
-    engine.on_asked(ReportOutcome::Missed, false);
+    engine.on_polled(ReportOutcome::Missed, false);
     assert!(engine.report.is_some());
-    engine.on_asked(report(), false);
-    engine.on_asked(ReportOutcome::Missed, false);
+    engine.on_polled(report(), false);
+    engine.on_polled(ReportOutcome::Missed, false);
     assert!(engine.report.is_some());
-    engine.on_asked(ReportOutcome::Missed, false);
+    engine.on_polled(ReportOutcome::Missed, false);
 
     assert!(engine.report.is_none());
 }
 
+/// One missing report suffices if the VM's own exchanges with the engine failed.
 #[test]
 fn a_missing_report_of_an_engine_that_failed_requests_is_a_loss() {
-    let mut engine = well();
+    let mut engine = healthy();
 
-    engine.on_asked(ReportOutcome::Missed, true);
+    engine.on_polled(ReportOutcome::Missed, true);
 
     assert!(engine.report.is_none());
 }
 
+/// A report makes a lost engine usable again.
 #[test]
 fn an_engine_that_reports_again_is_back() {
-    let mut engine = well();
-    engine.on_asked(ReportOutcome::Refused, false);
+    let mut engine = healthy();
+    engine.on_polled(ReportOutcome::Refused, false);
 
-    engine.on_asked(report(), false);
+    engine.on_polled(report(), false);
 
     assert!(engine.report.is_some());
 }
 
 const INTERVAL: Duration = Duration::from_millis(700);
 
-/// Rounds of which the last began `ago` before `now`.
-fn rounds_begun(now: Instant, ago: Duration, found_engines: bool) -> ReportSchedule {
-    let mut rounds = ReportSchedule::default();
-    rounds.on_round_started(
+/// A schedule whose last round began `ago` before `now`.
+fn schedule_with_round(now: Instant, ago: Duration, found_engines: bool) -> ReportSchedule {
+    let mut schedule = ReportSchedule::default();
+    schedule.on_round_started(
         now.checked_sub(ago).expect("the machine has run for a while"),
         found_engines,
     );
-    rounds
+    schedule
 }
 
+/// Rounds start one interval apart, the first at once.
 #[test]
-fn engines_are_asked_again_after_the_interval() {
+fn engines_are_polled_again_after_the_interval() {
     let now = Instant::now();
-    let is_due = |ago| rounds_begun(now, ago, true).is_due(now, INTERVAL, true);
+    let is_due = |ago| schedule_with_round(now, ago, true).is_due(now, INTERVAL, true);
 
     assert!(ReportSchedule::default().is_due(now, INTERVAL, false));
     assert!(!is_due(INTERVAL / 2));
     assert!(is_due(INTERVAL));
 }
 
-/// A leader that begins has its configuration before its endpoints.
+/// After a round without engines the next one starts as soon as there are some. A new leader
+/// receives its configuration before its endpoints.
 #[test]
-fn engines_are_asked_as_soon_as_they_are_known() {
+fn engines_are_polled_as_soon_as_they_are_known() {
     let now = Instant::now();
-    let rounds = rounds_begun(now, Duration::from_millis(1), false);
+    let schedule = schedule_with_round(now, Duration::from_millis(1), false);
 
-    assert!(!rounds.is_due(now, INTERVAL, false));
-    assert!(rounds.is_due(now, INTERVAL, true));
+    assert!(!schedule.is_due(now, INTERVAL, false));
+    assert!(schedule.is_due(now, INTERVAL, true));
 }
--- a/crates/sillbank_gateway/tests/store.rs
+++ b/crates/sillbank_gateway/tests/store.rs
@@ -1,17 +1,19 @@
-//! What a failed call to the store tells of the entries of endpoints.
+//! What a failed call to the store says about the entries of endpoints.
 
 use sillbank_fleet::prelude::*;
 use sillbank_gateway::store::StoreError;
 
+/// Status 429 is a rate limit, not an outage.
 #[test]
-fn a_refusal_for_the_rate_of_calls_is_no_outage() {
+fn a_rate_limited_call_is_no_outage() {
     let trouble = StoreError::Refused(429).trouble();
 
     assert_eq!(trouble, StoreTrouble::TurnsAway);
 }
 
+/// Status 503 and missing answers may mean that endpoints cannot reach the store either.
 #[test]
-fn a_store_that_gives_no_answer_or_does_nothing_may_be_away_for_endpoints_too() {
+fn a_store_that_does_not_answer_may_be_unreachable_for_endpoints_too() {
     let errors = [
         StoreError::Refused(503),
         StoreError::Unreached("reset".to_owned()),
--- a/crates/sillbank_gateway/tests/support/engines.rs
+++ b/crates/sillbank_gateway/tests/support/engines.rs
@@ -1,13 +1,13 @@
-//! A service with engines, and the figures of its engines.
+//! A service with engines and their figures.
 
 use sillbank_catalog::prelude::*;
 
-/// Layers of its model.
+/// Layers of the model.
 pub(crate) const LAYERS: u16 = 20;
-/// Places of each engine.
+/// Slots of each engine.
 pub(crate) const SLOTS: u32 = 192;
 
-/// The service, with a quick and a slow kind of accelerator.
+/// The service, with a fast and a slow kind of accelerator.
 pub(crate) fn service() -> Service {
     let accelerators = [("quick", 3.1), ("slow", 16.0)].map(|(kind, factor)| AcceleratorFigures {
         kind: kind.to_owned(),
--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of VMs that follow the store and one another by the gateway's own rules, in steps of 10 ms.
+//! A simulated fleet of VMs that follow the store and each other by the gateway's own rules, in
+//! steps of 10 ms.
 
 use sillbank_core::chance::Chance;
 use sillbank_gateway::backoff::{Backoff, Pause};
@@ -12,39 +13,39 @@
 use std::time::{Duration, Instant};
 
 const STEP: Duration = Duration::from_millis(10);
-/// Time of an answer of the store beside the wait of a watch.
-const STORE_ANSWER: Duration = Duration::from_millis(10);
-/// Limit for an answer of the store beside the wait of a watch.
-const STORE_LIMIT: Duration = Duration::from_millis(1_200);
-/// How long the first watch waits of a VM that was told so far.
-const FIRST_WAIT: Duration = Duration::from_millis(10);
-/// Pause between two asks of a leader to the leader of another hall.
+/// Time of an answer of the store, in addition to the wait of a watch.
+const STORE_ANSWER_TIME: Duration = Duration::from_millis(10);
+/// Timeout of a call to the store, in addition to the wait of a watch.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Wait of the first watch of a VM that relied on its leader so far.
+const FIRST_WATCH_WAIT: Duration = Duration::from_millis(10);
+/// Pause of a leader between requests to the leader of another hall.
 const OTHER_HALL_PAUSE: Duration = Duration::from_millis(100);
-/// A VM's strength; nobody is stronger, so nobody else comes to lead.
+/// Leader score of all VMs. They are equal, so no other VM takes the lead.
 const LEADER_SCORE: f64 = 1.0;
 /// Names of halls, in the order in which leaders rely on each other.
 const HALLS: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-/// What a VM sees of the store.
+/// How the store responds to a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum StoreSees {
+pub(crate) enum StoreResponse {
     /// It answers.
     Answer,
     /// It refuses at once.
     Refusal,
-    /// It says nothing.
+    /// It does not answer.
     Silence,
 }
 
-/// Which VM it is.
+/// Position of a VM in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct VmPlace {
+pub(crate) struct VmPosition {
     pub(crate) hall: usize,
     pub(crate) number: usize,
-    pub(crate) leads: bool,
+    pub(crate) is_leader: bool,
 }
 
-/// What the task does that follows the configuration.
+/// State of the task that follows the configuration.
 enum Following {
     Resting(Instant),
     Calling { sent: Instant, wait: Duration, ends: Instant },
@@ -52,23 +53,23 @@
 }
 
 struct Vm {
-    place: VmPlace,
+    position: VmPosition,
     hall: Hall,
-    sees: StoreSees,
+    response: StoreResponse,
     confirmed: Instant,
     store_is_reached: bool,
     following: Following,
-    was_told: bool,
+    relied_on_leader: bool,
     has_failed: bool,
     backoff: Backoff,
     calls: u64,
-    /// When the held ask to the leader, or to the source, was sent.
+    /// When the pending request to the leader, or to the source, was sent.
     asked: Instant,
     source: Option<SocketAddr>,
     other_asked: Instant,
 }
 
-/// A fleet.
+/// The fleet.
 pub(crate) struct Fleet {
     vms: Vec<Vm>,
     vms_a_hall: usize,
@@ -93,26 +94,27 @@
 }
 
 impl Fleet {
-    /// `halls` halls of `vms` VMs, of which the first leads, all of them just confirmed. All of them draw from
-    /// `chance`.
+    /// Creates `halls` halls of `vms` VMs each, all just confirmed; the first VM of each leads. All
+    /// of them draw random numbers from `chance`.
     pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, chance: Chance) -> Self {
         let began = Instant::now();
         let new = |at: usize| {
-            let place = VmPlace { hall: at / vms, number: at % vms, leads: at.is_multiple_of(vms) };
+            let position =
+                VmPosition { hall: at / vms, number: at % vms, is_leader: at.is_multiple_of(vms) };
             let hall = Hall::new(chance.clone());
             hall.record_hall_vms(vms as u32);
-            match place.leads {
+            match position.is_leader {
                 true => hall.acting_fence.set(Some(Revision::new(1, 1))),
                 false => hall.on_leader_update(began, Some(began), true),
             }
             Vm {
-                place,
+                position,
                 hall,
-                sees: StoreSees::Answer,
+                response: StoreResponse::Answer,
                 confirmed: began,
                 store_is_reached: true,
                 following: Following::Resting(began),
-                was_told: false,
+                relied_on_leader: false,
                 has_failed: false,
                 backoff: Backoff::default(),
                 calls: 0,
@@ -134,15 +136,20 @@
         }
     }
 
-    /// From now on the store is so to the VMs that `is_cut`, and answers the others.
-    pub(crate) fn cut_from_store(&mut self, sees: StoreSees, is_cut: impl Fn(VmPlace) -> bool) {
+    /// From now on the store responds with `response` to the VMs selected by `is_cut`, and answers
+    /// all others.
+    pub(crate) fn cut_from_store(
+        &mut self,
+        response: StoreResponse,
+        is_cut: impl Fn(VmPosition) -> bool,
+    ) {
         for vm in &mut self.vms {
-            vm.sees = if is_cut(vm.place) { sees } else { StoreSees::Answer };
+            vm.response = if is_cut(vm.position) { response } else { StoreResponse::Answer };
         }
     }
 
-    /// Plays so long, and looks after each step.
-    pub(crate) fn run(&mut self, for_ms: u64, mut look: impl FnMut(&Self)) {
+    /// Runs for `for_ms` and calls `inspect` after each step.
+    pub(crate) fn run(&mut self, for_ms: u64, mut inspect: impl FnMut(&Self)) {
         let end = self.now + Duration::from_millis(for_ms);
         if self.now != self.began {
             self.calls_when_settled = self.vms.iter().map(|vm| vm.calls).collect();
@@ -151,12 +158,12 @@
             self.now += STEP;
             for at in 0..self.vms.len() {
                 self.follow(at);
-                match self.vms[at].place.leads {
+                match self.vms[at].position.is_leader {
                     true => self.ask_others(at),
                     false => self.ask_leader(at),
                 }
             }
-            look(self);
+            inspect(self);
         }
     }
 
@@ -172,32 +179,32 @@
 
     /// Calls of VMs that do not lead.
     pub(crate) fn calls_of_members(&self) -> u64 {
-        self.vms.iter().filter(|vm| !vm.place.leads).map(|vm| vm.calls).sum()
+        self.vms.iter().filter(|vm| !vm.position.is_leader).map(|vm| vm.calls).sum()
     }
 
-    /// VMs that called the store since the last run began.
+    /// Number of VMs that called the store since the last run began.
     pub(crate) fn callers_since_settled(&self) -> usize {
         let before = self.calls_when_settled.iter();
         self.vms.iter().zip(before).filter(|(vm, before)| vm.calls > **before).count()
     }
 
-    /// Age of the oldest confirmation that a VM goes by.
+    /// Age of the oldest confirmation that a VM uses.
     pub(crate) fn oldest(&self) -> Duration {
         self.vms.iter().map(|vm| self.now - vm.confirmed).max().unwrap_or_default()
     }
 
-    /// The same among VMs that reach the store or have another in their hall that does, or whose leader hears
-    /// of the leader of a hall in which one does.
+    /// The same, if any VM reaches the store; else zero. Leaders follow each other, so that all VMs
+    /// are then connected to it.
     pub(crate) fn oldest_in_touch(&self) -> Duration {
-        let reaches = |vm: &&Vm| vm.sees == StoreSees::Answer;
+        let reaches = |vm: &&Vm| vm.response == StoreResponse::Answer;
         match self.vms.iter().any(|vm| reaches(&vm)) {
             true => self.oldest(),
             false => Duration::ZERO,
         }
     }
 
-    fn view(&self, vm: &Vm) -> SourceState {
-        let own = HALLS[vm.place.hall];
+    fn source_state(&self, vm: &Vm) -> SourceState {
+        let own = HALLS[vm.position.hall];
         SourceState {
             leader_is_live: vm.hall.leader_is_live(self.now),
             leader_holds_lease: vm.hall.leader_holds_lease(self.now),
@@ -213,30 +220,34 @@
     /// The task of a VM that follows the configuration.
     fn follow(&mut self, at: usize) {
         let now = self.now;
-        let view = self.view(&self.vms[at]);
+        let state = self.source_state(&self.vms[at]);
         let watch_wait = self.freshness.watch_wait;
         let vm = &mut self.vms[at];
         match &vm.following {
             Following::Resting(until) if now < *until => {}
-            Following::Resting(_) if relies_on_leader(WatchKind::Catalog, view) => {
-                vm.was_told = true;
+            Following::Resting(_) if relies_on_leader(WatchKind::Catalog, state) => {
+                vm.relied_on_leader = true;
                 vm.following = Following::Resting(now + SOURCE_CHECK_INTERVAL);
             }
             Following::Resting(_) => {
-                let wait = if vm.was_told || vm.has_failed { FIRST_WAIT } else { watch_wait };
-                vm.was_told = false;
+                let wait = if vm.relied_on_leader || vm.has_failed {
+                    FIRST_WATCH_WAIT
+                } else {
+                    watch_wait
+                };
+                vm.relied_on_leader = false;
                 vm.calls += 1;
-                let takes = match vm.sees {
-                    StoreSees::Answer => wait + STORE_ANSWER,
-                    StoreSees::Refusal => STORE_ANSWER,
-                    StoreSees::Silence => wait + STORE_LIMIT,
+                let takes = match vm.response {
+                    StoreResponse::Answer => wait + STORE_ANSWER_TIME,
+                    StoreResponse::Refusal => STORE_ANSWER_TIME,
+                    StoreResponse::Silence => wait + STORE_TIMEOUT,
                 };
                 vm.following = Following::Calling { sent: now, wait, ends: now + takes };
             }
             Following::Calling { ends, .. } if now < *ends => {}
             Following::Calling { sent, wait, .. } => {
                 let (sent, wait) = (*sent, *wait);
-                vm.store_is_reached = vm.sees == StoreSees::Answer;
+                vm.store_is_reached = vm.response == StoreResponse::Answer;
                 vm.has_failed = !vm.store_is_reached;
                 if vm.store_is_reached {
                     vm.backoff = Backoff::default();
@@ -255,13 +266,14 @@
         }
     }
 
-    /// Whether an ask of a VM to another is answered now: it is confirmed anew, or the ask was held long enough.
+    /// Whether a request to another VM is answered now: that VM was confirmed anew, or the request
+    /// was held long enough.
     fn is_answered(&self, asked: Instant, by: usize, known: Instant) -> bool {
         self.vms[by].confirmed > known || self.now >= asked + LONG_POLL_WAIT
     }
 
     fn ask_leader(&mut self, at: usize) {
-        let leader = self.vms[at].place.hall * self.vms_a_hall;
+        let leader = self.vms[at].position.hall * self.vms_a_hall;
         let (now, known) = (self.now, self.vms[at].confirmed);
         let asked = self.vms[at].asked;
         let (hall, confirmed_age) = (&self.vms[leader].hall, now - known);
@@ -271,15 +283,15 @@
         if !self.is_answered(asked, leader, known) {
             return;
         }
-        let told = self.vms[leader].confirmed;
+        let confirmed = self.vms[leader].confirmed;
         let holds_lease = self.vms[leader].store_is_reached;
         let vm = &mut self.vms[at];
-        vm.hall.on_leader_update(now, Some(told), holds_lease);
-        vm.confirmed = vm.confirmed.max(told);
+        vm.hall.on_leader_update(now, Some(confirmed), holds_lease);
+        vm.confirmed = vm.confirmed.max(confirmed);
         vm.asked = now;
     }
 
-    /// A leader asks its source, if it needs one, and the leaders of other halls.
+    /// A leader follows its source, if it needs one, and the leaders of other halls.
     fn ask_others(&mut self, at: usize) {
         let now = self.now;
         let vm = &self.vms[at];
@@ -308,13 +320,13 @@
         }
         self.vms[at].other_asked = now;
         for other in (0..self.vms.len()).step_by(self.vms_a_hall).filter(|other| *other != at) {
-            let teller = &self.vms[other];
-            let own = HALLS[teller.place.hall];
-            let follows_store =
-                teller.store_is_reached && !teller.hall.upstream_is_fresh(own, now, self.freshness);
-            let told = teller.confirmed;
-            self.vms[at].hall.on_other_leader_update(own, now, Some(told), follows_store);
-            self.vms[at].confirmed = self.vms[at].confirmed.max(told);
+            let other_leader = &self.vms[other];
+            let own = HALLS[other_leader.position.hall];
+            let follows_store = other_leader.store_is_reached
+                && !other_leader.hall.upstream_is_fresh(own, now, self.freshness);
+            let confirmed = other_leader.confirmed;
+            self.vms[at].hall.on_other_leader_update(own, now, Some(confirmed), follows_store);
+            self.vms[at].confirmed = self.vms[at].confirmed.max(confirmed);
         }
     }
 }
--- a/crates/sillbank_gateway/tests/support/mod.rs
+++ b/crates/sillbank_gateway/tests/support/mod.rs
@@ -1,3 +1,3 @@
-//! What tests of the gateway share.
+//! Support for several tests of the gateway.
 
 pub(crate) mod fleet;
--- a/crates/sillbank_gateway/tests/targets.rs
+++ b/crates/sillbank_gateway/tests/targets.rs
@@ -1,4 +1,4 @@
-//! What engines should hold: within their memory, every layer held, few moves.
+//! Target layers of engines: within their memory, every layer held, few moves.
 
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
@@ -53,7 +53,7 @@
     engines.collect()
 }
 
-/// The engines after they have carried all orders out.
+/// The engines after they have carried out all orders.
 fn carried_out(engines: &[EngineView], targets: &[Target]) -> Vec<EngineView> {
     let after = |engine: &EngineView| {
         let target = targets.iter().find(|target| target.endpoint == engine.id);
@@ -76,8 +76,9 @@
     }
 }
 
+/// Halls of the usual sizes hold every layer, and some layers twice.
 #[test]
-fn halls_of_the_core_sites_hold_every_layer_and_some_twice() {
+fn small_halls_hold_every_layer_and_some_twice() {
     for counts in [[3, 3, 5], [1, 5, 8], [1, 7, 5]] {
         let engines = hall(counts);
 
@@ -91,6 +92,7 @@
     }
 }
 
+/// A large hall holds every layer at least twice.
 #[test]
 fn a_large_hall_holds_the_model_more_than_once() {
     let engines = hall([2, 13, 22]);
@@ -101,8 +103,9 @@
     assert!((0..LAYERS).all(|layer| holders(&after, layer) >= 2));
 }
 
+/// After the loss of any engine, at most four moves restore every layer.
 #[test]
-fn the_loss_of_any_one_engine_is_mended_by_few_moves() {
+fn the_loss_of_any_one_engine_is_repaired_by_few_moves() {
     let engines = hall([1, 7, 5]);
     let targets = initial_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
     let placed = carried_out(&engines, &targets);
@@ -124,8 +127,9 @@
     }
 }
 
+/// Without losses nothing is moved.
 #[test]
-fn nothing_moves_in_calm_times() {
+fn nothing_moves_without_losses() {
     let engines = hall([3, 3, 5]);
     let targets = initial_targets(&engines, &figures(), &mut Chains::new(), true).expect("it fits");
     let placed = carried_out(&engines, &targets);
@@ -135,8 +139,9 @@
     assert_eq!(moves, vec![]);
 }
 
+/// Through random losses and restarts no engine exceeds its memory and no layer is missing.
 #[test]
-fn whatever_is_lost_and_comes_nobody_is_over_its_memory() {
+fn no_engine_exceeds_its_memory_through_random_losses() {
     for_fixed_seeds(100, 512, |u| {
         let counts = [u.int_in_range(0..=3)?, u.int_in_range(2..=8)?, u.int_in_range(2..=9)?];
         let mut engines = hall(counts);
@@ -162,6 +167,7 @@
     });
 }
 
+/// An engine that is carrying out an order gets no further order.
 #[test]
 fn an_engine_that_is_loading_gets_no_second_order() {
     let mut engines = hall([0, 9, 0]);
@@ -178,11 +184,12 @@
     assert!(targets.iter().all(|target| target.give_up == GiveUp::WhenUnused));
 }
 
-/// Parts that a path may have on the platform known.
-const MOST_PARTS: usize = 32;
+/// Largest number of parts of a path on the known platform.
+const MAX_PARTS: usize = 32;
 
+/// Each chain of a large hall is short enough for a path.
 #[test]
-fn a_large_hall_gets_chains_that_a_path_may_follow() {
+fn chains_of_a_large_hall_are_short_enough_for_a_path() {
     let engines = hall([20, 150, 163]);
     let mut chains = Chains::new();
 
@@ -192,13 +199,14 @@
     for target in &targets {
         *lengths.entry(chains[&target.endpoint]).or_default() += 1;
     }
-    assert!(lengths.values().all(|length| *length <= MOST_PARTS), "{lengths:?}");
+    assert!(lengths.values().all(|length| *length <= MAX_PARTS), "{lengths:?}");
     let after = carried_out(&engines, &targets);
     assert!((0..LAYERS).all(|layer| holders(&after, layer) >= lengths.len()));
 }
 
-/// The pattern: three kinds of cards, of which the quickest are few and far quicker.
-fn figures_of_paces(paces: [f64; 3]) -> EngineFigures {
+/// Figures with these step factors for the three kinds of cards. In the usual case the fastest are
+/// few and far faster.
+fn figures_with_step_factors(paces: [f64; 3]) -> EngineFigures {
     let mut figures = figures();
     for (kind, pace) in figures.accelerators.iter_mut().zip(paces) {
         kind.step_factor = pace;
@@ -206,7 +214,7 @@
     figures
 }
 
-/// Kinds of the engines that hold the model's layers with this one's chain, by number of the chain.
+/// Kinds of the engines in the first chain.
 fn kinds_of_first_chain(figures: &EngineFigures) -> Vec<String> {
     let engines = hall([8, 20, 22]);
     let mut chains = Chains::new();
@@ -217,27 +225,31 @@
     kinds
 }
 
+/// With very different speeds the fastest cards form a chain of their own.
 #[test]
-fn quick_cards_make_a_chain_of_their_own_where_paces_differ() {
-    let kinds = kinds_of_first_chain(&figures_of_paces([2.4, 16.0, 15.0]));
+fn fast_cards_form_a_chain_of_their_own_where_speeds_differ() {
+    let kinds = kinds_of_first_chain(&figures_with_step_factors([2.4, 16.0, 15.0]));
 
     assert_eq!(kinds, ["a100s"]);
 }
 
+/// With similar speeds each chain contains all kinds of cards.
 #[test]
-fn cards_of_about_one_pace_are_dealt_by_memory() {
-    let kinds = kinds_of_first_chain(&figures_of_paces([14.0, 16.0, 15.0]));
+fn cards_of_similar_speed_are_distributed_by_memory() {
+    let kinds = kinds_of_first_chain(&figures_with_step_factors([14.0, 16.0, 15.0]));
 
     assert_eq!(kinds, ["a100s", "l4", "t4"]);
 }
 
+/// Invalid step factors do not keep layers from being placed.
 #[test]
-fn absurd_paces_place_every_layer_all_the_same() {
+fn invalid_step_factors_still_place_every_layer() {
     for paces in [[f64::NAN; 3], [0.0; 3], [f64::INFINITY, 1.0, f64::NAN], [-1.0, 1e300, 0.0]] {
         let engines = hall([2, 13, 22]);
 
-        let targets = initial_targets(&engines, &figures_of_paces(paces), &mut Chains::new(), true)
-            .expect("it fits");
+        let targets =
+            initial_targets(&engines, &figures_with_step_factors(paces), &mut Chains::new(), true)
+                .expect("it fits");
         let after = carried_out(&engines, &targets);
 
         assert_within_memory(&after);
