--- a/crates/sillbank_engines/src/lib.rs
+++ b/crates/sillbank_engines/src/lib.rs
@@ -1,36 +1,38 @@
-//! The model of engines that decides: what a request asks of an engine, and what room an engine has.
+//! Model of the load and capacity of engines, on which routing decisions are based.
 //!
-//! An engine's room is a vector: KV cache, time, and places where it is the first of a path. A
-//! [`Demand`] says what a request takes of it, [`KvRoom`] what is left when the engine's report and
-//! the sends that it cannot have seen are taken together, [`SendLog`] keeps these sends, and
-//! [`work_ms`] and [`time_share`] say how much of its time is taken. [`forecast`] tells what the caller of
-//! one more stream on a path will see, [`requests_in_time`] how many requests an engine carries in time.
+//! An engine is limited by its KV cache, its time, and its slots as first engine of a path. A
+//! [`RequestSize`] says how much of these a request uses. [`KvUsage`] combines an engine's report with
+//! the sends that the report cannot include yet, which [`SendLog`] keeps. [`request_work_ms`] and
+//! [`time_share`] estimate how much of the engine's time is used. [`forecast`] predicts what the caller
+//! of one more stream on a path will see, and [`max_requests_for_pause`] how many requests an engine
+//! can run without exceeding the pause objective.
 //!
-//! Pure: no sockets, no clock, no threads, no chance.
+//! The crate is pure: no sockets, clocks, threads or random numbers.
 
 #![forbid(unsafe_code)]
 
-mod correction;
-mod demand;
 mod forecast;
-mod fullness;
+mod forecast_correction;
+mod hall_capacity;
+mod kv_cache;
 mod passes;
-mod room;
-mod sends;
-mod time;
+mod request_size;
+mod send_log;
+mod time_share;
 
-pub use correction::Correction;
-pub use demand::Demand;
-pub use forecast::{EngineLoad, Predicted, forecast, requests_in_time};
-pub use fullness::{EngineRoom, HallRoom};
-pub use room::{KvRoom, kv_capacity, memory_shape};
-pub use sends::{SendLog, Unseen};
-pub use time::{time_share, usual_run_ms, work_ms};
+pub use forecast::{EngineLoad, ForecastTimes, forecast, max_requests_for_pause};
+pub use forecast_correction::ForecastCorrection;
+pub use hall_capacity::{EngineCapacity, HallCapacity};
+pub use kv_cache::{KvUsage, kv_capacity, memory_figures};
+pub use request_size::RequestSize;
+pub use send_log::{SendLog, UnreportedLoad};
+pub use time_share::{request_work_ms, time_share, usual_run_ms};
 
-/// The few types most users need.
+/// The types that most users need.
 pub mod prelude {
     pub use crate::{
-        Correction, Demand, EngineLoad, EngineRoom, HallRoom, KvRoom, Predicted, SendLog, Unseen,
-        forecast, kv_capacity, memory_shape, requests_in_time, time_share, usual_run_ms, work_ms,
+        EngineCapacity, EngineLoad, ForecastCorrection, ForecastTimes, HallCapacity, KvUsage,
+        RequestSize, SendLog, UnreportedLoad, forecast, kv_capacity, max_requests_for_pause,
+        memory_figures, request_work_ms, time_share, usual_run_ms,
     };
 }
--- a/crates/sillbank_engines/src/demand.rs
+++ b/crates/sillbank_engines/src/request_size.rs
@@ -1,18 +1,19 @@
-//! What a request asks of engines.
+//! Size of a request.
 
 use sillbank_catalog::prelude::*;
 
-/// Tokens that a request keeps in the KV cache of each layer that it passes, when it ends.
+/// Size of a request in tokens. At its end the request has all of them in the KV cache of each layer
+/// that it passes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Demand {
+pub struct RequestSize {
     /// Tokens of the prompt.
     pub prompt_tokens: f64,
-    /// Tokens that are likely to come out.
+    /// Expected tokens of the answer.
     pub answer_tokens: f64,
 }
 
-impl Demand {
-    /// A request of the service's usual size.
+impl RequestSize {
+    /// The service's usual request size.
     pub fn usual(figures: &EngineFigures) -> Self {
         Self {
             prompt_tokens: f64::from(figures.usual_prompt_tokens),
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Tokens in the KV cache of a layer at the end.
+    /// Tokens in the KV cache of each layer at the end of the request.
     pub fn kv_tokens(&self) -> f64 {
         self.prompt_tokens + self.answer_tokens
     }
--- a/crates/sillbank_engines/tests/forecast.rs
+++ b/crates/sillbank_engines/tests/forecast.rs
@@ -1,4 +1,4 @@
-//! What streams are predicted to show, against what was measured of them and for any figures.
+//! Tests of stream forecasts, against times measured on a deployment and for any figures.
 
 use sillbank_catalog::prelude::*;
 use sillbank_engines::prelude::*;
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(250);
-const QUICK: &str = "a100";
+const FAST: &str = "a100";
 const MIDDLE: &str = "l40s";
 const SLOW: &str = "l4";
 
-/// Figures of a fleet whose events were measured.
+/// Figures of a deployment whose event times are known.
 fn figures() -> EngineFigures {
     let kinds =
-        [(QUICK, 72_000.0, 2.4, 3.2), (MIDDLE, 43_200.0, 5.6, 2.7), (SLOW, 21_600.0, 16.0, 8.2)];
+        [(FAST, 72_000.0, 2.4, 3.2), (MIDDLE, 43_200.0, 5.6, 2.7), (SLOW, 21_600.0, 16.0, 8.2)];
     let accelerators = kinds.map(|(kind, memory_mb, step_factor, prefill_factor)| {
         AcceleratorFigures { kind: kind.to_owned(), memory_mb, step_factor, prefill_factor }
     });
@@ -43,91 +43,102 @@
     EngineLoad { kind, layers, running, waiting: 0.0, pace: 1.0 }
 }
 
-fn predicted(figures: &EngineFigures, parts: &[EngineLoad<'_>]) -> Predicted {
-    forecast(figures, parts, Demand::usual(figures))
+fn predicted(figures: &EngineFigures, parts: &[EngineLoad<'_>]) -> ForecastTimes {
+    forecast(figures, parts, RequestSize::usual(figures))
 }
 
-fn in_time(figures: &EngineFigures, kind: &str, layers: usize, pace: f64) -> f64 {
+fn max_requests(figures: &EngineFigures, kind: &str, layers: usize, pace: f64) -> f64 {
     let kind = figures.accelerator(kind).expect("it is known");
-    requests_in_time(figures, kind, layers, pace, OBJECTIVE)
+    max_requests_for_pause(figures, kind, layers, pace, OBJECTIVE)
 }
 
+/// Forecasts with a deployment's figures lie a little above the event times measured there.
 #[test]
-fn the_longest_pause_is_a_little_over_the_events_that_were_measured() {
+fn forecasts_match_a_real_deployment() {
     let figures = figures();
-    let quick = vec![load(&figures, QUICK, 27, 100.0); 3];
+    let fast = vec![load(&figures, FAST, 27, 100.0); 3];
     let slow_part = load(&figures, SLOW, 4, 60.0);
     let middle_part = load(&figures, MIDDLE, 7, 60.0);
     let slow = [vec![middle_part; 8], vec![slow_part; 6]].concat();
 
-    let [quick, slow] = [predicted(&figures, &quick), predicted(&figures, &slow)];
+    let [fast, slow] = [predicted(&figures, &fast), predicted(&figures, &slow)];
 
-    // Measured: an event each 31 to 44 ms on three quick engines, each 57 to 89 ms on some 15 slower ones.
-    assert!((31.0..75.0).contains(&millis(quick.pause)), "{quick:?}");
+    // Measured: one event every 31 to 44 ms on three fast engines, every 57 to 89 ms on about 15 slower ones.
+    assert!((31.0..75.0).contains(&millis(fast.pause)), "{fast:?}");
     assert!((57.0..125.0).contains(&millis(slow.pause)), "{slow:?}");
-    // Measured first events: 54 ms at p50, 112 at p95 over all paths.
-    assert!((45.0..70.0).contains(&millis(quick.first_event)), "{quick:?}");
-    assert!(quick.first_event < slow.first_event, "{quick:?} {slow:?}");
+    // Measured first events: 54 ms at p50 and 112 ms at p95 over all paths.
+    assert!((45.0..70.0).contains(&millis(fast.first_event)), "{fast:?}");
+    assert!(fast.first_event < slow.first_event, "{fast:?} {slow:?}");
 }
 
+/// On one idle engine with all layers an event takes the steps of one pass.
 #[test]
-fn an_idle_engine_alone_plays_its_steps_without_a_wait() {
+fn idle_single_engine_needs_only_its_own_steps() {
     let figures = figures();
 
-    let predicted = predicted(&figures, &[load(&figures, QUICK, 80, 0.0)]);
+    let predicted = predicted(&figures, &[load(&figures, FAST, 80, 0.0)]);
 
-    // Five steps of 1.02 ms times 2.4, and at times one that another request begins.
+    // Five steps of 1.02 ms times 2.4, and sometimes a pass that another request started.
     assert!((12.2..24.5).contains(&millis(predicted.pause)), "{predicted:?}");
-    // Beside it, 775 tokens are read at 164 a ms times 3.2.
+    // In addition, 775 tokens are prefilled at 164 tokens per ms times 3.2.
     assert!((27.0..29.0).contains(&millis(predicted.first_event)), "{predicted:?}");
 }
 
+/// Requests that wait for KV cache on a full engine delay the first event.
 #[test]
-fn a_first_event_waits_for_those_that_an_engine_has_no_room_for() {
+fn first_event_waits_for_requests_beyond_capacity() {
     let figures = figures();
-    let begun = load(&figures, QUICK, 27, 130.0);
+    let begun = load(&figures, FAST, 27, 130.0);
     let full = EngineLoad { waiting: 60.0, ..begun };
 
     let [free, full] = [vec![begun; 3], vec![full; 3]].map(|parts| predicted(&figures, &parts));
 
-    // Some 50 more than it has memory for, of which 70 to 80 end a second.
+    // About 50 requests beyond its memory, with 70 to 80 requests ending per second.
     assert!(free.first_event < Duration::from_millis(200), "{free:?}");
     assert!((500.0..1_200.0).contains(&millis(full.first_event)), "{full:?}");
 }
 
+/// At their usual pace engines meet the pause objective with as many requests as fit their memory.
 #[test]
-fn engines_that_are_well_keep_pauses_with_as_many_requests_as_they_have_memory_for() {
+fn healthy_engines_meet_pauses_up_to_their_memory() {
     let figures = figures();
 
-    for (kind, layers) in [(QUICK, 27), (MIDDLE, 8), (SLOW, 5)] {
-        let requests = in_time(&figures, kind, layers, 1.0);
+    for (kind, layers) in [(FAST, 27), (MIDDLE, 8), (SLOW, 5)] {
+        let requests = max_requests(&figures, kind, layers, 1.0);
         assert!(requests >= 130.0, "{kind}: {requests}");
     }
 }
 
+/// The number of requests within the pause objective falls as engines become slower.
 #[test]
-fn engines_that_are_slow_keep_pauses_with_fewer_requests() {
+fn slow_engines_meet_pauses_with_fewer_requests() {
     let figures = figures();
 
-    let at_paces = [1.0, 3.0, 7.0].map(|pace| in_time(&figures, QUICK, 27, pace));
-    let slow_twice = in_time(&figures, SLOW, 5, 2.0);
+    let at_paces = [1.0, 3.0, 7.0].map(|pace| max_requests(&figures, FAST, 27, pace));
+    let slow_twice = max_requests(&figures, SLOW, 5, 2.0);
 
     assert!(at_paces[1] < 150.0, "{at_paces:?}");
     assert!(at_paces[2] < 40.0, "{at_paces:?}");
     assert_eq!(slow_twice, 1.0);
 }
 
+/// Zero layers, a NaN or zero pace, no objective and an empty path give safe results.
 #[test]
-fn unusable_questions_get_a_safe_answer() {
+fn invalid_arguments_get_a_safe_result() {
     let figures = figures();
-    let kind = figures.accelerator(QUICK).expect("it is known");
-    let of = |layers, pace, objective| requests_in_time(&figures, kind, layers, pace, objective);
+    let kind = figures.accelerator(FAST).expect("it is known");
+    let limit =
+        |layers, pace, objective| max_requests_for_pause(&figures, kind, layers, pace, objective);
     let nothing = predicted(&figures, &[]);
 
-    assert_eq!(of(0, 1.0, OBJECTIVE), 1.0, "it runs no part of a path");
-    assert_eq!(of(27, f64::NAN, OBJECTIVE), of(27, 1.0, OBJECTIVE));
-    assert_eq!(of(27, 0.0, OBJECTIVE), of(27, 1.0, OBJECTIVE), "none is quicker than its figures");
-    assert_eq!(of(27, 1.0, Duration::ZERO), 192.0, "no objective is missed");
+    assert_eq!(limit(0, 1.0, OBJECTIVE), 1.0, "it runs no part of a path");
+    assert_eq!(limit(27, f64::NAN, OBJECTIVE), limit(27, 1.0, OBJECTIVE));
+    assert_eq!(
+        limit(27, 0.0, OBJECTIVE),
+        limit(27, 1.0, OBJECTIVE),
+        "none is quicker than its figures"
+    );
+    assert_eq!(limit(27, 1.0, Duration::ZERO), 192.0, "no objective is missed");
     assert_eq!(nothing.first_event, Duration::ZERO);
 }
 
@@ -135,7 +146,7 @@
     time.as_secs_f64() * 1000.0
 }
 
-/// A figure as an operator may have meant it, or not.
+/// A valid or invalid value for a figure.
 fn any_figure(u: &mut arbitrary::Unstructured<'_>, usual: f64) -> arbitrary::Result<f64> {
     Ok(match u.int_in_range(0..=7)? {
         0 => f64::NAN,
@@ -169,16 +180,19 @@
     Ok(figures)
 }
 
+/// Infinite, negative and NaN figures give results within their bounds.
 #[test]
-fn any_figures_give_bounded_answers() {
+fn results_stay_in_bounds_for_any_figures() {
     for_fixed_seeds(2_000, 512, |u| {
         let figures = any_figures(u)?;
         let layers = u.int_in_range(0..=100)?;
         let pace = any_figure(u, 1.0)?;
         let objective = Duration::from_millis(u.int_in_range(0..=1_000)?);
         let [running, waiting] = [any_figure(u, 60.0)?, any_figure(u, 10.0)?];
-        let demand =
-            Demand { prompt_tokens: any_figure(u, 700.0)?, answer_tokens: any_figure(u, 200.0)? };
+        let demand = RequestSize {
+            prompt_tokens: any_figure(u, 700.0)?,
+            answer_tokens: any_figure(u, 200.0)?,
+        };
 
         let parts: Vec<EngineLoad<'_>> = figures
             .accelerators
@@ -189,7 +203,7 @@
         let most = f64::from(figures.slots.max(1));
 
         for kind in &figures.accelerators {
-            let requests = requests_in_time(&figures, kind, layers, pace, objective);
+            let requests = max_requests_for_pause(&figures, kind, layers, pace, objective);
             assert!((1.0..=most).contains(&requests), "{requests} of {figures:?}");
         }
         assert!(predicted.first_event <= Duration::from_secs(60), "{predicted:?}");
@@ -198,13 +212,14 @@
     });
 }
 
+/// Forecasts grow with running and waiting requests and with the pace of any engine.
 #[test]
-fn more_requests_or_a_slower_engine_never_make_a_stream_sooner() {
+fn more_load_or_slower_pace_never_shortens_a_forecast() {
     let figures = figures();
     for_fixed_seeds(2_000, 512, |u| {
         let mut parts = Vec::new();
         for _ in 0..u.int_in_range(1..=16)? {
-            let (kind, layers) = *u.choose(&[(QUICK, 27), (MIDDLE, 8), (SLOW, 5)])?;
+            let (kind, layers) = *u.choose(&[(FAST, 27), (MIDDLE, 8), (SLOW, 5)])?;
             let running = f64::from(u.int_in_range(0..=192_u16)?);
             let waiting = f64::from(u.int_in_range(0..=50_u16)?);
             parts.push(EngineLoad { waiting, ..load(&figures, kind, layers, running) });
@@ -225,8 +240,9 @@
     });
 }
 
+/// The number of requests within the pause objective never grows with the pace.
 #[test]
-fn a_slower_pace_never_leaves_time_for_more_requests() {
+fn slower_pace_never_allows_more_requests() {
     let figures = figures();
     for_fixed_seeds(500, 64, |u| {
         let kind = u.choose(&figures.accelerators)?;
@@ -234,8 +250,8 @@
         let pace = f64::from(u.int_in_range(10..=100_u16)?) / 10.0;
         let slower = pace + f64::from(u.int_in_range(1..=50_u16)?) / 10.0;
 
-        let [well, slow] =
-            [pace, slower].map(|pace| requests_in_time(&figures, kind, layers, pace, OBJECTIVE));
+        let [well, slow] = [pace, slower]
+            .map(|pace| max_requests_for_pause(&figures, kind, layers, pace, OBJECTIVE));
 
         assert!(slow <= well, "{slow} at {slower}, {well} at {pace}");
         Ok(())
--- a/crates/sillbank_engines/tests/room.rs
+++ b/crates/sillbank_engines/tests/room.rs
@@ -1,4 +1,4 @@
-//! What room an engine is taken to have, from its report and from sends that it cannot have seen.
+//! Tests of an engine's KV cache usage, from its report and from sends that the report cannot include.
 
 use sillbank_engines::prelude::*;
 use sillbank_testing::for_fixed_seeds;
@@ -6,32 +6,36 @@
 
 const CAPACITY: f64 = 10_000.0;
 
+/// KV cache of requests sent since the report counts as used.
 #[test]
-fn what_was_sent_since_the_report_is_taken_too() {
-    let room = KvRoom::new(CAPACITY, 0.5, 3_000.0);
+fn unreported_sends_count_as_used() {
+    let usage = KvUsage::new(CAPACITY, 0.5, 3_000.0);
 
-    assert!((room.taken_share() - 0.8).abs() < 1e-9);
-    assert!(room.fits(1_500.0, 0.95));
-    assert!(!room.fits(1_600.0, 0.95));
+    assert!((usage.used_share() - 0.8).abs() < 1e-9);
+    assert!(usage.fits(1_500.0, 0.95));
+    assert!(!usage.fits(1_600.0, 0.95));
 }
 
+/// If more was freed than the report shows in use, usage is zero.
 #[test]
-fn more_given_back_than_reported_leaves_no_less_than_nothing() {
-    let room = KvRoom::new(CAPACITY, 0.1, -3_000.0);
+fn usage_is_never_negative() {
+    let usage = KvUsage::new(CAPACITY, 0.1, -3_000.0);
 
-    assert_eq!(room.taken, 0.0);
+    assert_eq!(usage.used, 0.0);
 }
 
+/// An engine whose capacity is zero fits no request.
 #[test]
-fn an_engine_without_kv_cache_fits_nothing() {
-    let room = KvRoom::new(0.0, 0.0, 0.0);
+fn engine_without_kv_cache_is_full() {
+    let usage = KvUsage::new(0.0, 0.0, 0.0);
 
-    assert_eq!(room.taken_share(), 1.0);
-    assert!(!room.fits(1.0, 1.0));
+    assert_eq!(usage.used_share(), 1.0);
+    assert!(!usage.fits(1.0, 1.0));
 }
 
+/// Sends before the report are part of it; later sends and ends are added.
 #[test]
-fn sends_before_the_report_are_left_to_it() {
+fn only_changes_since_the_report_count() {
     let start = Instant::now();
     let reported = start + Duration::from_millis(500);
     let mut log = SendLog::default();
@@ -40,23 +44,25 @@
     log.on_send(reported + Duration::from_millis(1), 300.0);
     log.on_end(reported + Duration::from_millis(2), 1_000.0);
 
-    let unseen = log.since(reported);
-    assert_eq!((unseen.kv, unseen.requests), (-700.0, 0.0));
+    let unreported = log.since(reported);
+    assert_eq!((unreported.kv, unreported.requests), (-700.0, 0.0));
 }
 
+/// A send that ended at once adds no load.
 #[test]
-fn a_send_that_was_refused_leaves_nothing_behind() {
+fn refused_send_leaves_no_load() {
     let start = Instant::now();
     let mut log = SendLog::default();
 
     log.on_send(start, 1_000.0);
     log.on_end(start + Duration::from_millis(3), 1_000.0);
 
-    assert_eq!(log.since(start), Unseen::default());
+    assert_eq!(log.since(start), UnreportedLoad::default());
 }
 
+/// For any history of the last seconds, the load since a moment is what was sent minus what ended.
 #[test]
-fn what_is_counted_is_what_began_less_what_ended_since_any_moment_of_the_last_seconds() {
+fn unreported_load_is_sends_minus_ends() {
     for_fixed_seeds(200, 1024, |u| {
         // Arrange
         let start = Instant::now();
@@ -74,15 +80,15 @@
                 changes.push((at, -kv));
             }
         }
-        let moment = at - Duration::from_millis(u.int_in_range(0..=2_000)?);
+        let from = at - Duration::from_millis(u.int_in_range(0..=2_000)?);
 
         // Act
-        let unseen = log.since(moment);
+        let unreported = log.since(from);
 
         // Assert
-        let since = changes.iter().filter(|(at, _)| *at >= moment);
+        let since = changes.iter().filter(|(at, _)| *at >= from);
         let expected: f64 = since.map(|(_, kv)| kv).sum();
-        assert!((unseen.kv - expected).abs() < 1e-6);
+        assert!((unreported.kv - expected).abs() < 1e-6);
         Ok(())
     });
 }
--- a/crates/sillbank_engines/tests/time.rs
+++ b/crates/sillbank_engines/tests/time.rs
@@ -1,9 +1,9 @@
-//! How busy engines are, by the figures of a site known.
+//! Tests of the share of their time that engines use, with the figures of a real deployment.
 
 use sillbank_catalog::prelude::*;
 use sillbank_engines::prelude::*;
 
-/// Figures of the grown sites.
+/// Figures of a large deployment.
 fn figures() -> EngineFigures {
     let accelerators = [("a100s", 3.1, 3.2), ("l4", 16.0, 8.2), ("t4", 15.0, 15.0)];
     let accelerators = accelerators.map(|(kind, step_factor, prefill_factor)| AcceleratorFigures {
@@ -33,31 +33,33 @@
     }
 }
 
+/// Engines at their usual pace use less than 65 % of their time for a hall's load.
 #[test]
-fn engines_that_are_well_have_time_left_for_the_load_of_a_hall() {
+fn healthy_engines_have_time_for_the_load_of_a_hall() {
     let figures = figures();
 
     for (kind, layers, running) in [("a100s", 13, 190.0), ("l4", 8, 100.0), ("t4", 5, 100.0)] {
         let kind = figures.accelerator(kind).expect("it is known");
-        let share = time_share(&figures, running, work_ms(&figures, kind, layers, 1.0));
+        let share = time_share(&figures, running, request_work_ms(&figures, kind, layers, 1.0));
         assert!(share < 0.65, "{}: {share}", kind.kind);
     }
 }
 
+/// Engines at 12 times their usual pace have no time left for much less than that load.
 #[test]
-fn an_engine_at_a_twelfth_of_its_speed_has_none_left() {
+fn engine_at_a_twelfth_of_its_speed_is_overloaded() {
     let figures = figures();
 
     for (kind, layers, running) in [("a100s", 13, 150.0), ("l4", 8, 60.0), ("t4", 5, 60.0)] {
         let kind = figures.accelerator(kind).expect("it is known");
-        let share = time_share(&figures, running, work_ms(&figures, kind, layers, 12.0));
+        let share = time_share(&figures, running, request_work_ms(&figures, kind, layers, 12.0));
         assert!(share > 0.9, "{}: {share}", kind.kind);
     }
 }
 
+/// Answers of the usual size take about 2 s on a deployment with these figures and little load.
 #[test]
-fn a_usual_answer_runs_for_about_as_long_as_it_was_seen_to() {
-    // Seen on the grown sites' quiet days: answers of the usual size take some 2 s.
+fn usual_run_time_matches_a_real_deployment() {
     let run_ms = usual_run_ms(&figures());
 
     assert!((1_000.0..2_500.0).contains(&run_ms), "{run_ms}");
--- a/crates/sillbank_gateway/src/endpoints.rs
+++ b/crates/sillbank_gateway/src/endpoints.rs
@@ -154,9 +154,9 @@
     }
 
     /// What this VM sent to an engine since a moment, less what was given back.
-    pub fn sent_since(&self, endpoint: &str, moment: Instant) -> Unseen {
+    pub fn sent_since(&self, endpoint: &str, moment: Instant) -> UnreportedLoad {
         let seen = self.seen.borrow();
-        seen.get(endpoint).map_or_else(Unseen::default, |seen| seen.sends.since(moment))
+        seen.get(endpoint).map_or_else(UnreportedLoad::default, |seen| seen.sends.since(moment))
     }
 
     /// Requests of this VM that are in flight at an endpoint.
--- a/crates/sillbank_gateway/src/forecasts.rs
+++ b/crates/sillbank_gateway/src/forecasts.rs
@@ -22,9 +22,9 @@
     /// When it was sent.
     pub sent_at: Instant,
     /// By the figures.
-    pub plain: Predicted,
+    pub plain: ForecastTimes,
     /// With what was learnt of the hall.
-    pub corrected: Predicted,
+    pub corrected: ForecastTimes,
 }
 
 /// Seen over foretold, where both are known.
@@ -39,8 +39,8 @@
 /// What was learnt of one hall.
 #[derive(Debug, Clone, Copy, Default)]
 struct HallCorrection {
-    first_event: Correction,
-    pause: Correction,
+    first_event: ForecastCorrection,
+    pause: ForecastCorrection,
 }
 
 /// What was learnt of forecasts, by the hall in which paths begin.
@@ -65,7 +65,7 @@
             Some((hall, forecast(ask.figures, &loads?, ask.demand)))
         })?;
         let learnt = self.by_hall.borrow().get(&hall).copied().unwrap_or_default();
-        let corrected = Predicted {
+        let corrected = ForecastTimes {
             first_event: learnt.first_event.apply(plain.first_event),
             pause: learnt.pause.apply(plain.pause),
         };
@@ -106,13 +106,14 @@
             let mut by_hall = self.by_hall.borrow_mut();
             let learnt = by_hall.entry(foretold.hall.clone()).or_default();
             if let Some(first_event) = first_event {
-                learnt.first_event.learn(foretold.plain.first_event, first_event);
+                learnt.first_event.observe(foretold.plain.first_event, first_event);
             }
             if let Some(pause) = pause {
-                learnt.pause.learn(foretold.plain.pause, pause);
+                learnt.pause.observe(foretold.plain.pause, pause);
             }
         }
-        let Predicted { first_event: first_foretold, pause: pause_foretold } = foretold.corrected;
+        let ForecastTimes { first_event: first_foretold, pause: pause_foretold } =
+            foretold.corrected;
         let known = |ratio: f64| Some(ratio).filter(|ratio| ratio.is_finite());
         ForecastRatios {
             first_event: first_event.and_then(|seen| known(seen.div_duration_f64(first_foretold))),
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -133,14 +133,14 @@
     }
 
     /// What it asks of engines: its size as the caller tells it, or the service's usual size.
-    pub fn demand(&self, figures: &EngineFigures) -> Demand {
-        let usual = Demand::usual(figures);
+    pub fn demand(&self, figures: &EngineFigures) -> RequestSize {
+        let usual = RequestSize::usual(figures);
         let Some(tokens) = self.head.tokens else {
             return usual;
         };
         let most = f64::from(tokens.most_output);
         let likely = tokens.likely_output.map_or(usual.answer_tokens, f64::from);
-        Demand { prompt_tokens: f64::from(tokens.prompt), answer_tokens: likely.min(most) }
+        RequestSize { prompt_tokens: f64::from(tokens.prompt), answer_tokens: likely.min(most) }
     }
 
     /// How urgent it is beside others that ask for the same engines.
@@ -197,7 +197,7 @@
 }
 
 /// What a request takes of the engines on its path.
-pub fn shares_of(path: &LayerPath, demand: Demand) -> Vec<Share> {
+pub fn shares_of(path: &LayerPath, demand: RequestSize) -> Vec<Share> {
     let share = |part: &PathPart| Share {
         endpoint: part.endpoint.clone(),
         kv: demand.kv_tokens() * part.layers.len() as f64,
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -181,8 +181,8 @@
 }
 
 /// Room of all halls whose leaders tell of their engines.
-pub fn fleet_room(views: Views<'_>, service: &Service, figures: &EngineFigures) -> HallRoom {
-    let mut by_hall: BTreeMap<HallId, Vec<EngineRoom>> = BTreeMap::new();
+pub fn fleet_room(views: Views<'_>, service: &Service, figures: &EngineFigures) -> HallCapacity {
+    let mut by_hall: BTreeMap<HallId, Vec<EngineCapacity>> = BTreeMap::new();
     views.knowledge.endpoints(|directory| {
         for record in directory.usable_of(&service.name) {
             let newest_life = directory.newest_life(&record.id);
@@ -191,8 +191,8 @@
             }
         }
     });
-    let rooms = by_hall.values().map(|engines| HallRoom::of(engines, figures.layers));
-    rooms.fold(HallRoom::default(), HallRoom::plus)
+    let rooms = by_hall.values().map(|engines| HallCapacity::of(engines, figures.layers));
+    rooms.fold(HallCapacity::default(), HallCapacity::plus)
 }
 
 /// Room of an engine; `None` if its leader does not tell of it, or of an older life, or it cannot be used.
@@ -201,7 +201,7 @@
     record: &EndpointRecord,
     newest_life: Option<BornMs>,
     figures: &EngineFigures,
-) -> Option<EngineRoom> {
+) -> Option<EngineCapacity> {
     if !views.book.may_run_part(&record.id) {
         return None;
     }
@@ -217,15 +217,15 @@
     engine: &EngineState,
     figures: &EngineFigures,
     kind: &AcceleratorFigures,
-) -> Option<EngineRoom> {
+) -> Option<EngineCapacity> {
     // Layers that the model does not have are told by an engine that is not to be believed.
     let is_of_model = |held: &LayerRange| !held.is_empty() && held.end <= figures.layers;
     let layers = engine.layers.filter(|held| !engine.is_lost && is_of_model(held))?;
-    let usual_kv = Demand::usual(figures).kv_tokens() * layers.len() as f64;
+    let usual_kv = RequestSize::usual(figures).kv_tokens() * layers.len() as f64;
     let capacity = kv_capacity(figures, kind, layers.len())? / usual_kv.max(1.0);
     let requests = f64::from(engine.running) + f64::from(engine.waiting);
     let kv_share = f64::from(engine.kv_permille) / 1000.0;
     // Memory as it is used now: what running requests have still to write is given back meanwhile by those that end.
     let places_share = requests / f64::from(figures.slots.max(1));
-    Some(EngineRoom { layers, capacity, taken_share: kv_share.max(places_share) })
+    Some(EngineCapacity { layers, capacity, used_share: kv_share.max(places_share) })
 }
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -69,7 +69,7 @@
     /// Endpoints that are not to be used.
     pub avoid: &'a [EndpointId],
     /// What the request takes of each engine.
-    pub demand: Demand,
+    pub demand: RequestSize,
 }
 
 /// The cheapest path on which every engine has room for the request; engines that are left alone at
@@ -100,8 +100,8 @@
         let candidates = candidates(views, ask, halls).into_iter().filter(&fits);
         candidates.map(|candidate| candidate.holder)
     };
-    let find = |holders: &[Holder]| find_path(holders, ask.figures.layers, ask.home, CROSSING);
-    let mut holders: Vec<Holder> = holders_in(Halls::Home).collect();
+    let find = |holders: &[LayerHolder]| find_path(holders, ask.figures.layers, ask.home, CROSSING);
+    let mut holders: Vec<LayerHolder> = holders_in(Halls::Home).collect();
     if let Some(found) = find(&holders)
         && found.cost_ms <= least_cost_elsewhere_ms(ask.figures)
     {
@@ -147,9 +147,9 @@
     path: &LayerPath,
     lost: &str,
 ) -> Option<LayerPath> {
-    let holders: Vec<Holder> =
+    let holders: Vec<LayerHolder> =
         candidates(views, ask, Halls::All).into_iter().map(|found| found.holder).collect();
-    mend_path(path, lost, &holders, ask.figures.layers, ask.home, MENDING)
+    repair_path(path, lost, &holders, ask.figures.layers, ask.home, MENDING)
 }
 
 /// What paths are chosen from.
@@ -217,15 +217,15 @@
 /// An engine that may be part of a path.
 struct Candidate {
     /// Its layers and costs.
-    holder: Holder,
+    holder: LayerHolder,
     /// Its KV cache; `None` if the service's figures do not tell it.
-    room: Option<KvRoom>,
+    room: Option<KvUsage>,
     /// Taken part of its places, where paths begin; else 0.
     places_share: f64,
 }
 
 impl Candidate {
-    fn fits(&self, demand: Demand) -> bool {
+    fn fits(&self, demand: RequestSize) -> bool {
         let more = demand.kv_tokens() * self.holder.layers.len() as f64;
         let has_kv = self.room.is_none_or(|room| room.fits(more, NEW_LIMIT_SHARE));
         has_kv && self.places_share < NEW_LIMIT_SHARE
@@ -270,23 +270,23 @@
     let drawn = 1.0 + CHANCE * chance.fraction();
     let unseen = unseen(views, ask, record, &told);
     let capacity = kind.and_then(|kind| kv_capacity(figures, kind, layers.len()));
-    let room = capacity.map(|capacity| KvRoom::new(capacity, told.kv_share, unseen.kv));
+    let room = capacity.map(|capacity| KvUsage::new(capacity, told.kv_share, unseen.kv));
     let places_share = match layers.first {
         0 => (told.requests + unseen.requests) / f64::from(record.slots.max(1)),
         _ => 0.0,
     };
     let time = kind.filter(|_| mechanisms.time_share).map_or(0.0, |kind| {
-        time_share(figures, told.requests, work_ms(figures, kind, layers.len(), told.pace))
+        time_share(figures, told.requests, request_work_ms(figures, kind, layers.len(), told.pace))
     });
     // What it is shortest of decides.
-    let kv_share = room.map_or(told.kv_share, |room| room.taken_share());
+    let kv_share = room.map_or(told.kv_share, |room| room.used_share());
     let taken_share = kv_share.max(places_share).max(time);
     let crowd_ms = if mechanisms.crowd_cost { crowd_cost_ms(taken_share) } else { 0.0 };
     let health_ms = match mechanisms.health_cost {
         true => book.use_cost_ms(&record.id, now),
         false => 0.0,
     };
-    let holder = Holder {
+    let holder = LayerHolder {
         endpoint: record.id.clone(),
         address: record.address,
         hall: record.hall.clone(),
@@ -298,10 +298,15 @@
 }
 
 /// What an engine was sent since the state that it reported, by all VMs.
-fn unseen(views: Views<'_>, ask: PathAsk<'_>, record: &EndpointRecord, told: &Told) -> Unseen {
+fn unseen(
+    views: Views<'_>,
+    ask: PathAsk<'_>,
+    record: &EndpointRecord,
+    told: &Told,
+) -> UnreportedLoad {
     let reported_at = told.reported_at.unwrap_or(views.now);
     if !views.mechanisms.unseen_sends {
-        return Unseen::default();
+        return UnreportedLoad::default();
     }
     let own = views.book.sent_since(&record.id, reported_at);
     // Like VMs get like shares of callers and choose by the same reports: those of this hall at its
@@ -310,7 +315,7 @@
         true => told.vms,
         false => views.hall.boards.most_fleet_vms().saturating_sub(told.vms),
     };
-    own.times(f64::from(senders.max(1)))
+    own.scaled(f64::from(senders.max(1)))
 }
 
 /// What a hall's leader tells of an engine, as far as it bears on paths.
--- a/crates/sillbank_gateway/src/placement/targets.rs
+++ b/crates/sillbank_gateway/src/placement/targets.rs
@@ -9,7 +9,7 @@
 
 /// What the planner weighs, in layers loaded. A layer given up ends paths of requests that pass, so
 /// it costs more than a load; even shares count less, so that nothing moves for them alone.
-const WEIGHTS: PlanWeights = PlanWeights { load: 1.0, give_up: 2.0, balance: 0.1 };
+const WEIGHTS: PlanWeights = PlanWeights { load: 1.0, unload: 2.0, balance: 0.1 };
 /// Costs of little room for KV cache, in layers loaded: below this many requests of the usual size,
 /// this much more. A hall of the sites known runs some 60 requests at once, and preempts when its
 /// tightest engine has no room for them.
@@ -110,7 +110,9 @@
 ) -> Option<Vec<Target>> {
     let members: Vec<RepairMember> =
         engines.iter().filter_map(|engine| repair_member(engine, figures)).collect();
-    if let Some(moves) = repair(&members, figures.layers, load.max(LEAST_LOAD), SPARES_AT_ONCE) {
+    if let Some(moves) =
+        repair_placement(&members, figures.layers, load.max(LEAST_LOAD), SPARES_AT_ONCE)
+    {
         let targets = moves.into_iter().map(|moved| Target {
             endpoint: moved.endpoint,
             layers: moved.layers,
@@ -146,9 +148,9 @@
 }
 
 fn plan_chain(chain: &[&EngineView], figures: &EngineFigures) -> Option<Vec<Assignment>> {
-    let runners: Vec<PlanRunner> =
+    let runners: Vec<PlanMember> =
         chain.iter().filter_map(|engine| plan_runner(engine, figures)).collect();
-    plan(&runners, figures.layers, WEIGHTS)
+    plan_placement(&runners, figures.layers, WEIGHTS)
 }
 
 /// Deals engines to as many chains as hold the model with room for KV cache.
@@ -166,7 +168,7 @@
             held: engine.serves,
         })
         .collect();
-    *chains = deal_chains(&members, count, chains);
+    *chains = assign_chains(&members, count, chains);
     let mut dealt: Vec<Vec<&EngineView>> = vec![Vec::new(); count];
     for engine in engines {
         dealt[chains[&engine.id]].push(engine);
@@ -195,11 +197,11 @@
         .iter()
         .filter_map(|engine| {
             let kind = figures.accelerator(&engine.kind)?;
-            let fits = layers_that_fit(&memory_shape(figures, kind), tokens);
-            Some(PacedMember { endpoint: engine.id.clone(), pace: kind.step_factor, fits })
+            let max_layers = layers_that_fit(&memory_figures(figures, kind), tokens);
+            Some(PacedMember { endpoint: engine.id.clone(), pace: kind.step_factor, max_layers })
         })
         .collect();
-    *chains = deal_by_pace(&members, figures.layers);
+    *chains = assign_chains_by_pace(&members, figures.layers);
     let count = chains.values().max().map_or(1, |most| most + 1);
     let mut dealt: Vec<Vec<&EngineView>> = vec![Vec::new(); count];
     for engine in engines {
@@ -216,7 +218,7 @@
         .filter_map(|engine| figures.accelerator(&engine.kind))
         .map(|kind| {
             let tokens = usual_tokens(figures) * ROOM_IN_CHAINS;
-            u32::from(layers_that_fit(&memory_shape(figures, kind), tokens))
+            u32::from(layers_that_fit(&memory_figures(figures, kind), tokens))
         })
         .sum();
     let possible = f64::from(fits) / f64::from(figures.layers.max(1));
@@ -228,58 +230,59 @@
 
 fn pair_member(engine: &EngineView, figures: &EngineFigures) -> Option<PairMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_shape(figures, kind);
+    let shape = memory_figures(figures, kind);
     let usual = usual_tokens(figures);
     Some(PairMember {
         endpoint: engine.id.clone(),
         kind: kind.kind.clone(),
-        alone: layers_that_fit(&shape, usual * ROOM_ALONE),
-        paired: layers_that_fit(&shape, usual * ROOM_PAIRED),
+        solo_layers: layers_that_fit(&shape, usual * ROOM_ALONE),
+        paired_layers: layers_that_fit(&shape, usual * ROOM_PAIRED),
     })
 }
 
 fn repair_member(engine: &EngineView, figures: &EngineFigures) -> Option<RepairMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_shape(figures, kind);
+    let shape = memory_figures(figures, kind);
     let usual = usual_tokens(figures);
     let is_changing = engine.ordered.is_some() && engine.ordered != engine.serves;
     Some(RepairMember {
         endpoint: engine.id.clone(),
-        comfortable: layers_that_fit(&shape, usual * ROOM_PAIRED),
-        most: layers_that_fit(&shape, usual * ROOM_AT_LEAST),
+        preferred_layers: layers_that_fit(&shape, usual * ROOM_PAIRED),
+        max_layers: layers_that_fit(&shape, usual * ROOM_AT_LEAST),
         pace: kind.step_factor,
-        rooms: rooms(&shape, usual),
+        request_capacities: rooms(&shape, usual),
         held: engine.ordered.or(engine.serves),
         is_busy: engine.order_under_way || is_changing,
     })
 }
 
 /// Requests of the usual size for which there is room beside 0, 1, 2 ... layers.
-fn rooms(shape: &MemoryShape, usual_tokens: f64) -> Vec<f64> {
+fn rooms(shape: &MemoryFigures, usual_tokens: f64) -> Vec<f64> {
     let most = layers_that_fit(shape, 0.0);
     (0..=most).map(|held| tokens_that_fit(shape, held) / usual_tokens.max(1.0)).collect()
 }
 
-fn plan_runner(engine: &EngineView, figures: &EngineFigures) -> Option<PlanRunner> {
+fn plan_runner(engine: &EngineView, figures: &EngineFigures) -> Option<PlanMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_shape(figures, kind);
+    let shape = memory_figures(figures, kind);
     let most_layers = layers_that_fit(&shape, usual_tokens(figures));
-    let size_costs = (0..=most_layers).map(|held| room_cost(&shape, held, figures)).collect();
-    Some(PlanRunner {
+    let layer_count_costs =
+        (0..=most_layers).map(|held| room_cost(&shape, held, figures)).collect();
+    Some(PlanMember {
         endpoint: engine.id.clone(),
-        size_costs,
+        layer_count_costs,
         weight: kind.memory_mb,
         held: engine.serves,
     })
 }
 
 /// Cost of the room that is left for KV cache beside so many layers.
-fn room_cost(shape: &MemoryShape, held: u16, figures: &EngineFigures) -> f64 {
+fn room_cost(shape: &MemoryFigures, held: u16, figures: &EngineFigures) -> f64 {
     let requests = tokens_that_fit(shape, held) / usual_tokens(figures).max(1.0);
     let costs = ROOM_COSTS.iter().filter(|(least, _)| held > 0 && requests < *least);
     costs.map(|(_, cost)| cost).sum()
 }
 
 fn usual_tokens(figures: &EngineFigures) -> f64 {
-    Demand::usual(figures).kv_tokens()
+    RequestSize::usual(figures).kv_tokens()
 }
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -160,7 +160,7 @@
         Ok(Sent::NotRun(refusal)) => {
             let at_fault = refusal
                 .at_fault
-                .and_then(|address| Some(target.path.as_ref()?.at(address)?.endpoint.clone()));
+                .and_then(|address| Some(target.path.as_ref()?.part_at(address)?.endpoint.clone()));
             let reason = format!("refused with status {}", refusal.status);
             let blamed = at_fault.as_deref().unwrap_or(&endpoint);
             if !refusal.misdirected {
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -219,7 +219,7 @@
             Some(Loss::of(first, &reason))
         }
         Diagnosis::WaitsFor(address) => {
-            let part = active_route.path.and_then(|path| path.at(address))?;
+            let part = active_route.path.and_then(|path| path.part_at(address))?;
             let reason = "the first endpoint waits for it";
             gateway.on_evidence(&part.endpoint, Evidence::Unreachable, began, reason);
             Some(Loss::of(&part.endpoint, reason))
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -119,7 +119,7 @@
         now,
     };
     let figures = service.engine.as_ref().expect("it has one");
-    let demand = Demand::usual(figures);
+    let demand = RequestSize::usual(figures);
     let ask = PathAsk { service: &service, figures, home: HOME, avoid: &[], demand };
     let path = choose_path(views, ask).expect("there is one");
     forecasts.foretell(views, ask, &path)
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -136,7 +136,7 @@
 
 fn path_by(service: &Service, views: Views<'_>) -> Option<LayerPath> {
     let figures = service.engine.as_ref().expect("it has one");
-    let demand = Demand::usual(figures);
+    let demand = RequestSize::usual(figures);
     let ask = PathAsk { service, figures, home: HOME, avoid: &[], demand };
     choose_path(views, ask)
 }
--- a/crates/sillbank_layers/src/path.rs
+++ b/crates/sillbank_layers/src/path.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Most parts of a path. The platform's engines refuse longer ones.
+/// Maximum number of parts of a path. The platform's engines refuse longer ones.
 pub const MAX_PARTS: usize = 32;
 
 /// One endpoint of a path and the layers it runs.
@@ -12,34 +12,34 @@
 pub struct PathPart {
     /// Endpoint.
     pub endpoint: EndpointId,
-    /// Where it is reached.
+    /// Network address.
     pub address: SocketAddr,
     /// Layers it runs.
     pub layers: LayerRange,
 }
 
-/// Why parts do not make a path.
+/// Why a list of parts is not a valid path.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
-    /// A part begins elsewhere than the one before ended, or holds nothing.
+    /// A part does not begin where the one before it ends, or is empty.
     #[error("a part begins at layer {found} and not at {expected}; choose adjoining parts")]
-    NotAdjoining {
-        /// Layer where it should begin.
+    NotContiguous {
+        /// Layer at which the part should begin.
         expected: u16,
-        /// Layer where it begins.
+        /// Layer at which it begins.
         found: u16,
     },
-    /// The last part ends too early or too late.
+    /// The last part does not end at the model's last layer.
     #[error("the path ends at layer {found} and not at {expected}; choose parts up to the end")]
     WrongEnd {
-        /// Layers of the model.
+        /// Number of layers of the model.
         expected: u16,
-        /// Layer where the path ends.
+        /// Layer before which the path ends.
         found: u16,
     },
     /// An endpoint occurs twice.
     #[error("endpoint '{0}' occurs twice; give it one range")]
-    Repeated(EndpointId),
+    DuplicateEndpoint(EndpointId),
     /// More than [`MAX_PARTS`] parts.
     #[error("the path has {0} parts; use endpoints that hold more layers")]
     TooLong(usize),
@@ -52,10 +52,10 @@
 }
 
 impl LayerPath {
-    /// Checks parts and makes a path of them.
+    /// Builds a path from parts that cover `layers` layers once and in order.
     ///
     /// # Errors
-    /// What keeps them from covering `layers` layers once and in order.
+    /// A [`PathError`] for the first rule that the parts break.
     pub fn new(parts: Vec<PathPart>, layers: u16) -> Result<Self, PathError> {
         if parts.len() > MAX_PARTS {
             return Err(PathError::TooLong(parts.len()));
@@ -64,10 +64,10 @@
         let mut next = 0;
         for part in &parts {
             if part.layers.first != next || part.layers.is_empty() {
-                return Err(PathError::NotAdjoining { expected: next, found: part.layers.first });
+                return Err(PathError::NotContiguous { expected: next, found: part.layers.first });
             }
             if !seen.insert(&part.endpoint) {
-                return Err(PathError::Repeated(part.endpoint.clone()));
+                return Err(PathError::DuplicateEndpoint(part.endpoint.clone()));
             }
             next = part.layers.end;
         }
@@ -77,23 +77,23 @@
         Ok(Self { parts })
     }
 
-    /// The parts in order; at least one.
+    /// The parts in the order of their layers; at least one.
     pub fn parts(&self) -> &[PathPart] {
         &self.parts
     }
 
-    /// The part that takes the request.
+    /// The first part, whose endpoint receives the request.
     pub fn first(&self) -> &PathPart {
         &self.parts[0]
     }
 
-    /// Whether an endpoint is part of it.
-    pub fn passes(&self, endpoint: &str) -> bool {
+    /// Whether the endpoint runs a part of the path.
+    pub fn contains(&self, endpoint: &str) -> bool {
         self.parts.iter().any(|part| part.endpoint == endpoint)
     }
 
-    /// The endpoint of a part by its address.
-    pub fn at(&self, address: SocketAddr) -> Option<&PathPart> {
+    /// The part whose endpoint has this address.
+    pub fn part_at(&self, address: SocketAddr) -> Option<&PathPart> {
         self.parts.iter().find(|part| part.address == address)
     }
 }
--- a/crates/sillbank_layers/tests/layers.rs
+++ b/crates/sillbank_layers/tests/layers.rs
@@ -1,4 +1,5 @@
-//! Paths and plans: every layer once and in order, nobody over its memory.
+//! Tests of paths, plans and chains: every layer runs once and in order, and no endpoint holds more
+//! than its memory allows.
 
 use sillbank_core::prelude::*;
 use sillbank_layers::prelude::*;
@@ -6,14 +7,14 @@
 
 const LAYERS: u16 = 80;
 const CROSSING: CrossingCost = CrossingCost { request_ms: 10.0, activations_ms: 100.0 };
-const WEIGHTS: PlanWeights = PlanWeights { load: 1.0, give_up: 1.0, balance: 0.1 };
+const WEIGHTS: PlanWeights = PlanWeights { load: 1.0, unload: 1.0, balance: 0.1 };
 
 fn range(first: u16, end: u16) -> LayerRange {
     LayerRange { first, end }
 }
 
-fn holder(id: &str, hall: &str, first: u16, end: u16) -> Holder {
-    Holder {
+fn holder(id: &str, hall: &str, first: u16, end: u16) -> LayerHolder {
+    LayerHolder {
         endpoint: id.to_owned(),
         address: "10.0.0.1:80".parse().expect("an address"),
         hall: hall.to_owned(),
@@ -23,11 +24,11 @@
     }
 }
 
-fn runner(id: &str, most_layers: u16, held: Option<LayerRange>) -> PlanRunner {
-    PlanRunner {
+fn plan_member(id: &str, max_layers: u16, held: Option<LayerRange>) -> PlanMember {
+    PlanMember {
         endpoint: id.to_owned(),
-        size_costs: vec![0.0; usize::from(most_layers) + 1],
-        weight: f64::from(most_layers),
+        layer_count_costs: vec![0.0; usize::from(max_layers) + 1],
+        weight: f64::from(max_layers),
         held,
     }
 }
@@ -40,8 +41,9 @@
     }
 }
 
+/// A path must cover all layers once and in order, with no empty part and no endpoint twice.
 #[test]
-fn parts_with_gaps_overlaps_or_repeats_make_no_path() {
+fn path_rejects_gaps_overlaps_and_repeated_endpoints() {
     let path = |parts: Vec<PathPart>| LayerPath::new(parts, 10);
 
     assert!(path(vec![part("a", 0, 5), part("b", 5, 10)]).is_ok());
@@ -53,8 +55,9 @@
     assert!(path(vec![part("a", 0, 5), part("a", 5, 10)]).is_err());
 }
 
+/// A path within the home hall is chosen over one endpoint of another hall.
 #[test]
-fn a_path_stays_in_its_hall_if_it_can() {
+fn path_stays_in_the_home_hall_if_possible() {
     let holders = [holder("a1", "a", 0, 6), holder("b1", "b", 0, 10), holder("a2", "a", 5, 10)];
 
     let path = find_path(&holders, 10, "a", CROSSING).expect("all layers are held").path;
@@ -63,8 +66,9 @@
     assert_eq!(names, ["a1", "a2"]);
 }
 
+/// Starting in another hall is cheaper than passing activations between halls.
 #[test]
-fn a_path_goes_whole_to_another_hall_rather_than_through_two() {
+fn path_moves_to_another_hall_rather_than_crossing_in_the_middle() {
     let holders = [holder("a1", "a", 0, 6), holder("b1", "b", 0, 6), holder("b2", "b", 6, 10)];
 
     let path = find_path(&holders, 10, "a", CROSSING).expect("all layers are held").path;
@@ -73,15 +77,17 @@
     assert_eq!(names, ["b1", "b2"]);
 }
 
+/// A layer without a holder makes every path impossible.
 #[test]
-fn there_is_no_path_past_a_layer_that_nobody_holds() {
+fn no_path_if_a_layer_has_no_holder() {
     let holders = [holder("a1", "a", 0, 4), holder("a2", "a", 5, 10)];
 
     assert!(find_path(&holders, 10, "a", CROSSING).is_none());
 }
 
+/// Every part of a found path lies within the layers that its endpoint holds.
 #[test]
-fn found_paths_use_only_layers_that_are_held() {
+fn found_paths_only_use_layers_that_endpoints_hold() {
     for_fixed_seeds(300, 512, |u| {
         let mut holders = Vec::new();
         for number in 0..u.int_in_range(0..=12)? {
@@ -106,31 +112,34 @@
     });
 }
 
+/// Empty endpoints get layers in proportion to their weights.
 #[test]
-fn a_first_plan_shares_by_weight() {
-    let runners = [runner("a", 20, None), runner("b", 12, None), runner("c", 8, None)];
+fn initial_plan_distributes_layers_by_weight() {
+    let members =
+        [plan_member("a", 20, None), plan_member("b", 12, None), plan_member("c", 8, None)];
 
-    let plan = plan(&runners, 20, WEIGHTS).expect("it fits");
+    let plan = plan_placement(&members, 20, WEIGHTS).expect("it fits");
 
     let sizes: Vec<usize> = plan.iter().map(|a| a.layers.len()).collect();
     assert_eq!(sizes, [10, 6, 4]);
 }
 
+/// After a loss only the layers of the lost endpoint are loaded by others.
 #[test]
-fn a_lost_endpoint_moves_few_layers() {
-    let runners = [
-        runner("a", 8, Some(range(0, 5))),
-        runner("c", 8, Some(range(10, 15))),
-        runner("d", 8, Some(range(15, 20))),
+fn plan_loads_only_the_layers_of_a_lost_endpoint() {
+    let members = [
+        plan_member("a", 8, Some(range(0, 5))),
+        plan_member("c", 8, Some(range(10, 15))),
+        plan_member("d", 8, Some(range(15, 20))),
     ];
 
-    let plan = plan(&runners, 20, PlanWeights { load: 100.0, give_up: 0.0, balance: 0.1 })
+    let plan = plan_placement(&members, 20, PlanWeights { load: 100.0, unload: 0.0, balance: 0.1 })
         .expect("it fits");
 
     let layers: Vec<LayerRange> = plan.iter().map(|a| a.layers).collect();
     let loaded: usize = plan
         .iter()
-        .zip(&runners)
+        .zip(&members)
         .map(|(a, r)| {
             let held = r.held.expect("it holds some");
             let kept = range(a.layers.first.max(held.first), a.layers.end.min(held.end)).len();
@@ -140,43 +149,46 @@
     assert_eq!(loaded, 5, "{layers:?}");
 }
 
+/// An empty endpoint is placed at the layers that nobody holds.
 #[test]
-fn an_empty_endpoint_takes_what_is_missing() {
-    let runners = [
-        runner("a", 8, Some(range(0, 5))),
-        runner("new", 8, None),
-        runner("c", 12, Some(range(10, 20))),
+fn empty_endpoint_gets_the_missing_layers() {
+    let members = [
+        plan_member("a", 8, Some(range(0, 5))),
+        plan_member("new", 8, None),
+        plan_member("c", 12, Some(range(10, 20))),
     ];
 
-    let plan = plan(&runners, 20, PlanWeights { load: 100.0, give_up: 0.0, balance: 0.1 })
+    let plan = plan_placement(&members, 20, PlanWeights { load: 100.0, unload: 0.0, balance: 0.1 })
         .expect("it fits");
 
     let new = plan.iter().find(|assignment| assignment.endpoint == "new");
     assert_eq!(new.map(|assignment| assignment.layers), Some(range(5, 10)));
 }
 
+/// For any endpoints, a plan covers every layer once and no endpoint holds more than it can.
+/// There is a plan exactly if the endpoints can hold all layers together.
 #[test]
-fn plans_cover_every_layer_once_and_nobody_is_over_its_memory() {
+fn plans_cover_every_layer_once_within_memory() {
     for_fixed_seeds(400, 512, |u| {
-        let mut runners = Vec::new();
+        let mut members = Vec::new();
         for number in 0..u.int_in_range(0..=14)? {
-            let most_layers = u.int_in_range(0..=20)?;
+            let max_layers = u.int_in_range(0..=20)?;
             let first = u.int_in_range(0..=79)?;
-            let held = range(first, (first + u.int_in_range(0..=most_layers)?).min(LAYERS));
+            let held = range(first, (first + u.int_in_range(0..=max_layers)?).min(LAYERS));
             let held = if u.arbitrary()? { Some(held) } else { None };
-            runners.push(runner(&number.to_string(), most_layers, held));
+            members.push(plan_member(&number.to_string(), max_layers, held));
         }
-        let room: usize = runners.iter().map(|runner| runner.size_costs.len() - 1).sum();
+        let total: usize = members.iter().map(|member| member.layer_count_costs.len() - 1).sum();
 
-        let plan = plan(&runners, LAYERS, WEIGHTS);
+        let plan = plan_placement(&members, LAYERS, WEIGHTS);
 
-        assert_eq!(plan.is_some(), room >= usize::from(LAYERS));
+        assert_eq!(plan.is_some(), total >= usize::from(LAYERS));
         let mut next = 0;
         for assignment in plan.iter().flatten() {
-            let runner = runners.iter().find(|r| r.endpoint == assignment.endpoint);
-            let most = runner.expect("it is known").size_costs.len() - 1;
+            let member = members.iter().find(|m| m.endpoint == assignment.endpoint);
+            let max_layers = member.expect("it is known").layer_count_costs.len() - 1;
             assert_eq!(assignment.layers.first, next);
-            assert!(assignment.holds.len() <= most);
+            assert!(assignment.holds.len() <= max_layers);
             let covers = assignment.holds.first <= assignment.layers.first
                 && assignment.layers.end <= assignment.holds.end;
             assert!(covers || assignment.layers.is_empty());
@@ -187,24 +199,26 @@
     });
 }
 
+/// A placement that is already even is kept.
 #[test]
-fn a_plan_that_nothing_forces_to_change_stays() {
-    let runners = [
-        runner("a", 20, Some(range(0, 10))),
-        runner("b", 12, Some(range(10, 16))),
-        runner("c", 8, Some(range(16, 20))),
+fn balanced_plan_does_not_change() {
+    let members = [
+        plan_member("a", 20, Some(range(0, 10))),
+        plan_member("b", 12, Some(range(10, 16))),
+        plan_member("c", 8, Some(range(16, 20))),
     ];
 
-    let plan = plan(&runners, 20, WEIGHTS).expect("it fits");
+    let plan = plan_placement(&members, 20, WEIGHTS).expect("it fits");
 
     let layers: Vec<Option<LayerRange>> = plan.iter().map(|a| Some(a.layers)).collect();
-    let held: Vec<Option<LayerRange>> = runners.iter().map(|r| r.held).collect();
+    let held: Vec<Option<LayerRange>> = members.iter().map(|r| r.held).collect();
     assert_eq!(layers, held);
 }
 
+/// The number of layers that fit falls as the KV cache grows.
 #[test]
-fn less_fits_the_more_cache_is_wanted() {
-    let shape = MemoryShape {
+fn fewer_layers_fit_beside_a_larger_kv_cache() {
+    let shape = MemoryFigures {
         memory_mb: 21_600.0,
         layer_mb: 1750.0,
         layers: 80,
@@ -217,118 +231,130 @@
     assert_eq!(layers_that_fit(&shape, 70_000.0), 10);
 }
 
+/// An endpoint unloads layers that others hold if they take memory needed for its KV cache.
 #[test]
-fn layers_that_crowd_out_the_cache_are_given_up_in_calm_times() {
-    let mut crowded = runner("a", 12, Some(range(0, 12)));
-    crowded.size_costs = (0..=12).map(|n| if n > 10 { 20.0 } else { 0.0 }).collect();
-    let other = runner("b", 12, Some(range(10, 20)));
-    let weights = PlanWeights { load: 1.0, give_up: 2.0, balance: 0.1 };
+fn plan_unloads_layers_that_leave_too_little_kv_cache() {
+    let mut crowded = plan_member("a", 12, Some(range(0, 12)));
+    crowded.layer_count_costs = (0..=12).map(|n| if n > 10 { 20.0 } else { 0.0 }).collect();
+    let other = plan_member("b", 12, Some(range(10, 20)));
+    let weights = PlanWeights { load: 1.0, unload: 2.0, balance: 0.1 };
 
-    let plan = plan(&[crowded, other], 20, weights).expect("it fits");
+    let plan = plan_placement(&[crowded, other], 20, weights).expect("it fits");
 
     assert_eq!(plan[0].holds, range(0, 10));
 }
 
-fn member(id: &str, weight: f64, held: Option<LayerRange>) -> ChainMember {
+fn chain_member(id: &str, weight: f64, held: Option<LayerRange>) -> ChainMember {
     ChainMember { endpoint: id.to_owned(), weight, held }
 }
 
+/// Chains of empty endpoints get about the same total weight.
 #[test]
-fn empty_endpoints_are_dealt_by_weight() {
+fn empty_endpoints_are_assigned_to_chains_by_weight() {
     let members = [
-        member("a", 4.0, None),
-        member("b", 3.0, None),
-        member("c", 2.0, None),
-        member("d", 1.0, None),
+        chain_member("a", 4.0, None),
+        chain_member("b", 3.0, None),
+        chain_member("c", 2.0, None),
+        chain_member("d", 1.0, None),
     ];
 
-    let dealt = deal_chains(&members, 2, &Default::default());
+    let assigned = assign_chains(&members, 2, &Default::default());
 
-    assert_eq!(dealt["a"], dealt["d"]);
-    assert_eq!(dealt["b"], dealt["c"]);
-    assert_ne!(dealt["a"], dealt["b"]);
+    assert_eq!(assigned["a"], assigned["d"]);
+    assert_eq!(assigned["b"], assigned["c"]);
+    assert_ne!(assigned["a"], assigned["b"]);
 }
 
+/// Without a previous assignment, endpoints whose layers continue each other form a chain.
 #[test]
-fn chains_are_found_again_from_what_endpoints_hold() {
+fn chains_are_reconstructed_from_held_layers() {
     let members = [
-        member("a1", 1.0, Some(range(0, 30))),
-        member("a2", 1.0, Some(range(30, 80))),
-        member("b1", 1.0, Some(range(0, 50))),
-        member("b2", 1.0, Some(range(50, 80))),
+        chain_member("a1", 1.0, Some(range(0, 30))),
+        chain_member("a2", 1.0, Some(range(30, 80))),
+        chain_member("b1", 1.0, Some(range(0, 50))),
+        chain_member("b2", 1.0, Some(range(50, 80))),
     ];
 
-    let dealt = deal_chains(&members, 2, &Default::default());
+    let assigned = assign_chains(&members, 2, &Default::default());
 
-    assert_eq!(dealt["a1"], dealt["a2"]);
-    assert_eq!(dealt["b1"], dealt["b2"]);
-    assert_ne!(dealt["a1"], dealt["b1"]);
+    assert_eq!(assigned["a1"], assigned["a2"]);
+    assert_eq!(assigned["b1"], assigned["b2"]);
+    assert_ne!(assigned["a1"], assigned["b1"]);
 }
 
+/// An endpoint with a previous chain keeps it even if another chain is lighter.
 #[test]
-fn endpoints_stay_in_their_chains() {
+fn endpoints_keep_their_previous_chain() {
     let before = [("a".to_owned(), 1)].into_iter().collect();
 
-    let dealt = deal_chains(&[member("a", 9.0, None), member("b", 1.0, None)], 2, &before);
+    let assigned =
+        assign_chains(&[chain_member("a", 9.0, None), chain_member("b", 1.0, None)], 2, &before);
 
-    assert_eq!((dealt["a"], dealt["b"]), (1, 0));
+    assert_eq!((assigned["a"], assigned["b"]), (1, 0));
 }
 
+/// All parts but the lost one stay; its layers are run by several other endpoints.
 #[test]
-fn only_the_lost_part_of_a_path_is_replaced() {
+fn path_repair_replaces_only_the_lost_part() {
     let old = vec![part("a", 0, 4), part("lost", 4, 8), part("c", 8, 10)];
     let old = LayerPath::new(old, 10).expect("it is whole");
     let holders = [holder("a", "a", 0, 10), holder("x", "a", 2, 6), holder("y", "b", 5, 9)];
 
-    let mended = mend_path(&old, "lost", &holders, 10, "a", CROSSING).expect("others hold it");
+    let repaired = repair_path(&old, "lost", &holders, 10, "a", CROSSING).expect("others hold it");
 
-    assert_eq!(mended.parts()[0], part("a", 0, 4));
-    assert_eq!(mended.parts().last(), Some(&part("c", 8, 10)));
-    let names: Vec<&str> = mended.parts().iter().map(|part| part.endpoint.as_str()).collect();
+    assert_eq!(repaired.parts()[0], part("a", 0, 4));
+    assert_eq!(repaired.parts().last(), Some(&part("c", 8, 10)));
+    let names: Vec<&str> = repaired.parts().iter().map(|part| part.endpoint.as_str()).collect();
     assert_eq!(names, ["a", "x", "y", "c"]);
 }
 
+/// Path repair returns nothing if the lost endpoint runs the first part.
 #[test]
-fn a_first_part_cannot_be_replaced() {
+fn first_part_of_a_path_cannot_be_replaced() {
     let old = LayerPath::new(vec![part("a", 0, 4), part("b", 4, 10)], 10).expect("it is whole");
     let holders = [holder("x", "a", 0, 4)];
 
-    assert!(mend_path(&old, "a", &holders, 10, "a", CROSSING).is_none());
+    assert!(repair_path(&old, "a", &holders, 10, "a", CROSSING).is_none());
 }
 
-/// What a path costs, by the same rules that it is chosen by.
-fn cost_of(path: &LayerPath, holders: &[Holder], home: &str) -> f64 {
-    let of = |part: &PathPart| holders.iter().find(|h| h.endpoint == part.endpoint).expect("known");
-    let first = of(&path.parts()[0]);
+/// Cost of a path by the rules of `find_path`.
+fn path_cost(path: &LayerPath, holders: &[LayerHolder], home: &str) -> f64 {
+    let holder_of =
+        |part: &PathPart| holders.iter().find(|h| h.endpoint == part.endpoint).expect("known");
+    let first = holder_of(&path.parts()[0]);
     let mut cost = if first.hall == home { 0.0 } else { CROSSING.request_ms };
     for part in path.parts() {
-        let holder = of(part);
+        let holder = holder_of(part);
         cost += holder.use_cost_ms + part.layers.len() as f64 * holder.layer_cost_ms;
     }
     for pair in path.parts().windows(2) {
-        cost += if of(&pair[0]).hall == of(&pair[1]).hall { 0.0 } else { CROSSING.activations_ms };
+        cost += if holder_of(&pair[0]).hall == holder_of(&pair[1]).hall {
+            0.0
+        } else {
+            CROSSING.activations_ms
+        };
     }
     cost
 }
 
-/// The least cost of running the layers from `at` on after the endpoints `passed`, by trying all ways
-/// that take an endpoint once, or (`may_return`) more often, but not twice in a row.
-fn least_cost(
-    holders: &[Holder],
+/// Least cost of running the layers from `from` on after the holders in `used`, by exhaustive search.
+/// Each holder is used once or, with `may_return`, several times but not twice in a row.
+fn min_cost(
+    holders: &[LayerHolder],
     layers: u16,
-    at: u16,
-    passed: &mut Vec<usize>,
+    from: u16,
+    used: &mut Vec<usize>,
     may_return: bool,
 ) -> f64 {
-    if at == layers {
+    if from == layers {
         return 0.0;
     }
     let mut least = f64::INFINITY;
     for (index, holder) in holders.iter().enumerate() {
-        let last = passed.last().copied();
-        let holds_it = holder.layers.first <= at && at < holder.layers.end;
-        let is_passed = if may_return { last == Some(index) } else { passed.contains(&index) };
-        if !holds_it || is_passed {
+        let last = used.last().copied();
+        let holds_layer = holder.layers.first <= from && from < holder.layers.end;
+        let is_used = if may_return { last == Some(index) } else { used.contains(&index) };
+        if !holds_layer || is_used {
             continue;
         }
         let before = match last {
@@ -337,19 +363,21 @@
             Some(last) if holders[last].hall == holder.hall => 0.0,
             Some(_) => CROSSING.activations_ms,
         };
-        passed.push(index);
-        for to in at + 1..=holder.layers.end.min(layers) {
-            let part = holder.use_cost_ms + f64::from(to - at) * holder.layer_cost_ms;
-            let rest = least_cost(holders, layers, to, passed, may_return);
+        used.push(index);
+        for to in from + 1..=holder.layers.end.min(layers) {
+            let part = holder.use_cost_ms + f64::from(to - from) * holder.layer_cost_ms;
+            let rest = min_cost(holders, layers, to, used, may_return);
             least = least.min(before + part + rest);
         }
-        passed.pop();
+        used.pop();
     }
     least
 }
 
+/// If the cheapest way leaves an endpoint and returns to it, the path uses that endpoint throughout,
+/// as no endpoint may occur twice.
 #[test]
-fn an_endpoint_that_the_cheapest_way_returns_to_runs_what_lies_between() {
+fn endpoint_that_the_path_returns_to_runs_the_layers_in_between() {
     let mut wide = holder("wide", "a", 0, 20);
     wide.layer_cost_ms = 5.0;
     let holders = [wide, holder("quick", "a", 5, 10)];
@@ -359,8 +387,9 @@
     assert_eq!(path.parts(), [part("wide", 0, 20)]);
 }
 
+/// Compares found paths with an exhaustive search over paths that use each endpoint once.
 #[test]
-fn no_path_is_cheaper_than_the_one_that_is_found() {
+fn found_path_has_the_least_cost() {
     for_fixed_seeds(300, 256, |u| {
         let layers = 6;
         let mut holders = Vec::new();
@@ -376,15 +405,15 @@
 
         let found = find_path(&holders, layers, "a", CROSSING).map(|found| found.path);
 
-        let least = least_cost(&holders, layers, 0, &mut Vec::new(), false);
-        let with_returns = least_cost(&holders, layers, 0, &mut Vec::new(), true);
+        let least = min_cost(&holders, layers, 0, &mut Vec::new(), false);
+        let with_returns = min_cost(&holders, layers, 0, &mut Vec::new(), true);
         let Some(path) = found else {
             assert!(least.is_infinite(), "there is a path");
             return Ok(());
         };
-        let cost = cost_of(&path, &holders, "a");
+        let cost = path_cost(&path, &holders, "a");
         assert!(cost > least - 1e-6);
-        // Where no way that returns is cheaper, it is the cheapest.
+        // A path with the least cost is guaranteed unless returning to an endpoint would be cheaper.
         assert!(with_returns < least - 1e-6 || cost < least + 1e-6, "{cost} {least}");
         Ok(())
     });
