--- a/crates/sillbank_admission/src/returns.rs
+++ b/crates/sillbank_admission/src/returns.rs
@@ -16,7 +16,7 @@
 
 use pace::{Pace, RankPaces, Rate};
 use places::Places;
-use sillbank_demand::{MAX_RANKS, Rank, counted_rank};
+use sillbank_demand::{MAX_RANKS, Rank, clamp_rank};
 use std::time::{Duration, Instant};
 
 /// Shortest time to come back. In that time some requests in work end, and what engines report of it
@@ -175,5 +175,5 @@
 }
 
 fn index(rank: Rank) -> usize {
-    usize::from(counted_rank(rank))
+    usize::from(clamp_rank(rank))
 }
--- a/crates/sillbank_admission/src/returns/pace.rs
+++ b/crates/sillbank_admission/src/returns/pace.rs
@@ -1,7 +1,7 @@
 //! How many refused callers may come back a second.
 
 use super::LONGEST;
-use sillbank_demand::{DemandRate, MAX_RANKS, counted_rank};
+use sillbank_demand::{DemandRate, MAX_RANKS, clamp_rank};
 use std::time::{Duration, Instant};
 
 /// Part of the requests that are let in that is left to callers who come back at least: a shortage ends some
@@ -117,13 +117,13 @@
 /// What fits of each rank. The urgent go first: room is what is let in beside new callers of the same and of
 /// more urgent ranks, and beside more urgent ones who come back. `None` if too little is let in to say.
 fn flows(rates: &[DemandRate]) -> Option<Vec<RankFlow>> {
-    let let_in: f64 = rates.iter().map(|rate| rate.let_in_per_s).sum();
+    let let_in: f64 = rates.iter().map(|rate| rate.admitted_per_s).sum();
     if let_in.is_nan() || let_in < LEAST_LET_IN_PER_S {
         return None;
     }
     let mut flows = vec![RankFlow::default(); MAX_RANKS];
     for rate in rates {
-        let flow = &mut flows[usize::from(counted_rank(rate.rank))];
+        let flow = &mut flows[usize::from(clamp_rank(rate.rank))];
         flow.offered_per_s += rate.offered_per_s;
         flow.new_per_s += rate.new_per_s();
         flow.refused_per_s += rate.refused_per_s;
--- a/crates/sillbank_admission/tests/returns.rs
+++ b/crates/sillbank_admission/tests/returns.rs
@@ -107,13 +107,13 @@
 /// VMs of the fleets below.
 const VMS: u32 = 20;
 
-fn rate(rank: Rank, new_per_s: f64, let_in_per_s: f64) -> DemandRate {
-    let refused_per_s = new_per_s - let_in_per_s;
+fn rate(rank: Rank, new_per_s: f64, admitted_per_s: f64) -> DemandRate {
+    let refused_per_s = new_per_s - admitted_per_s;
     DemandRate {
         offered_per_s: new_per_s,
-        let_in_per_s,
+        admitted_per_s,
         refused_per_s,
-        ..DemandRate::none("quotes", rank)
+        ..DemandRate::zero("quotes", rank)
     }
 }
 
@@ -265,9 +265,9 @@
     for_fixed_seeds(200, 4_096, |u| {
         let mut rates = Vec::new();
         for rank in 0..=2 {
-            let let_in_per_s = f64::from(u.int_in_range(0..=100)?);
+            let admitted_per_s = f64::from(u.int_in_range(0..=100)?);
             let refused_per_s = f64::from(u.int_in_range(0..=100)?);
-            rates.push(rate(rank, let_in_per_s + refused_per_s, let_in_per_s));
+            rates.push(rate(rank, admitted_per_s + refused_per_s, admitted_per_s));
         }
         let mut fleet = Fleet::new(rates);
         let mut at_ms = 0;
@@ -345,10 +345,10 @@
         for _ in 0..u.int_in_range(0..=40)? {
             rates.push(DemandRate {
                 offered_per_s: u.arbitrary()?,
-                let_in_per_s: u.arbitrary()?,
+                admitted_per_s: u.arbitrary()?,
                 refused_per_s: u.arbitrary()?,
-                returning_per_s: u.arbitrary()?,
-                ..DemandRate::none("quotes", u.arbitrary()?)
+                retries_per_s: u.arbitrary()?,
+                ..DemandRate::zero("quotes", u.arbitrary()?)
             });
         }
         let flow = FleetFlow { rates: &rates, vms: u.arbitrary()? };
--- a/crates/sillbank_gateway/src/boards.rs
+++ b/crates/sillbank_gateway/src/boards.rs
@@ -3,7 +3,7 @@
 use crate::feed::{EngineState, HallBoard, HallRates};
 use sillbank_core::prelude::*;
 use sillbank_demand::prelude::*;
-use sillbank_demand::{BELIEVED, MAX_RANKS, MAX_SERVICES};
+use sillbank_demand::{FRESH_FOR, MAX_RANKS, MAX_SERVICES};
 use sillbank_fleet::prelude::*;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -221,7 +221,7 @@
 
     fn believed_demand(&self, now: Instant) -> Option<&KeptDemand> {
         let age = |demand: &&KeptDemand| now.saturating_duration_since(demand.as_of);
-        self.demand.as_ref().filter(|demand| age(demand) < BELIEVED)
+        self.demand.as_ref().filter(|demand| age(demand) < FRESH_FOR)
     }
 }
 
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -22,8 +22,8 @@
 #[derive(Debug)]
 pub struct DemandBook {
     counter: RefCell<DemandCounter>,
-    sum: RefCell<DemandSum>,
-    route_times: RefCell<RouteTimes>,
+    sum: RefCell<DemandAggregator>,
+    route_times: RefCell<RetryDetector>,
     returns: RefCell<HashMap<ServiceId, ReturnTimes>>,
     /// Where this VM stands among those that tell their first callers to come back, from 0 to 1.
     phase: f64,
@@ -38,7 +38,7 @@
     pub fn new(incarnation: Incarnation, now: Instant) -> Self {
         Self {
             counter: RefCell::new(DemandCounter::new(incarnation, now)),
-            sum: RefCell::new(DemandSum::new(now)),
+            sum: RefCell::new(DemandAggregator::new(now)),
             route_times: RefCell::default(),
             returns: RefCell::default(),
             phase: (incarnation % PHASES) as f64 / PHASES as f64,
@@ -94,7 +94,7 @@
         if !is_told {
             let (rates, vms) = own();
             let all: Vec<DemandRate> =
-                rates.into_iter().map(|rate| rate.times(f64::from(vms))).collect();
+                rates.into_iter().map(|rate| rate.scaled(f64::from(vms))).collect();
             add_rates(&mut fleet.rates, &all);
             fleet.vms += vms;
         }
@@ -106,8 +106,8 @@
     /// Counts a request that came.
     pub fn count_offered(&self, job: &Job) {
         let mut route_times = self.demand.route_times.borrow_mut();
-        let is_returning = route_times.is_returning(job.began, &job.route.name, job.head.time_left);
-        let event = if is_returning { Event::Returned } else { Event::Offered };
+        let is_returning = route_times.is_retry(job.began, &job.route.name, job.head.time_left);
+        let event = if is_returning { DemandEvent::Retried } else { DemandEvent::Offered };
         self.count_demand(job, event);
     }
 
@@ -117,15 +117,15 @@
         self.load.on_sent(&job.service.name, true, now);
         let note = |returns: &mut ReturnTimes| returns.on_let_in(now, job.priority());
         self.demand.with_returns(&job.service.name, now, note);
-        self.count_once(job, Event::LetIn);
+        self.count_once(job, DemandEvent::Admitted);
     }
 
     /// Counts what became of a request that has ended.
     pub fn count_end(&self, job: &Job, outcome: Outcome) {
         match outcome {
-            Outcome::Refused => self.count_once(job, Event::Refused),
+            Outcome::Refused => self.count_once(job, DemandEvent::Refused),
             Outcome::Answered | Outcome::Failed | Outcome::BrokenOff => {
-                self.count_once(job, Event::LetIn);
+                self.count_once(job, DemandEvent::Admitted);
             }
             Outcome::CallerLeft => {}
         }
@@ -175,7 +175,7 @@
         };
         let is_of_hall = ask.hall == self.settings.borrow().hall;
         if is_of_hall && self.hall.tells.get().is_some() {
-            self.demand.sum.borrow_mut().hear(now, &ask.vm, report);
+            self.demand.sum.borrow_mut().on_report(now, &ask.vm, report);
         }
     }
 
@@ -187,7 +187,7 @@
         }
         let own = self.demand.counter.borrow().report(now);
         let mut sum = self.demand.sum.borrow_mut();
-        sum.hear(now, &settings.vm, &own);
+        sum.on_report(now, &settings.vm, &own);
         Some(HallRates { age_ms: 0, rates: sum.rates(now)? })
     }
 
@@ -213,19 +213,19 @@
             self.metrics.fleet_demand_per_s.get_or_create(&label).set(per_s);
         };
         set("offered", rate.offered_per_s);
-        set("let_in", rate.let_in_per_s);
+        set("let_in", rate.admitted_per_s);
         set("refused", rate.refused_per_s);
-        set("returning", rate.returning_per_s);
+        set("returning", rate.retries_per_s);
     }
 
-    fn count_once(&self, job: &Job, event: Event) {
+    fn count_once(&self, job: &Job, event: DemandEvent) {
         if !job.is_counted.replace(true) {
             self.count_demand(job, event);
         }
     }
 
-    fn count_demand(&self, job: &Job, event: Event) {
-        let (service, rank) = (&job.service.name, counted_rank(job.priority()));
+    fn count_demand(&self, job: &Job, event: DemandEvent) {
+        let (service, rank) = (&job.service.name, clamp_rank(job.priority()));
         if !self.demand.counter.borrow_mut().count(Instant::now(), service, rank, event) {
             return;
         }
@@ -234,13 +234,13 @@
             self.metrics.demand.get_or_create(&label).inc();
         };
         match event {
-            Event::Offered => count("offered"),
-            Event::Returned => {
+            DemandEvent::Offered => count("offered"),
+            DemandEvent::Retried => {
                 count("offered");
                 count("returning");
             }
-            Event::LetIn => count("let_in"),
-            Event::Refused => count("refused"),
+            DemandEvent::Admitted => count("let_in"),
+            DemandEvent::Refused => count("refused"),
         }
     }
 
--- a/crates/sillbank_gateway/src/ladder_metrics.rs
+++ b/crates/sillbank_gateway/src/ladder_metrics.rs
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 use sillbank_admission::ladder::Urgency;
-use sillbank_demand::counted_rank;
+use sillbank_demand::clamp_rank;
 
 /// Label of a request's way up the ladder.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -53,7 +53,7 @@
             Err(NotLetIn { is_late: false, .. }) => "refused_rank",
             Err(NotLetIn { is_late: true, .. }) => "refused_late",
         };
-        let rank = counted_rank(urgency.organisation);
+        let rank = clamp_rank(urgency.organisation);
         self.asked.get_or_create(&AskedLabel { service: service.to_owned(), rank, end }).inc();
     }
 
--- a/crates/sillbank_gateway/tests/demand.rs
+++ b/crates/sillbank_gateway/tests/demand.rs
@@ -9,7 +9,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn rate(rank: Rank, offered_per_s: f64) -> DemandRate {
-    DemandRate { offered_per_s, ..DemandRate::none("quotes", rank) }
+    DemandRate { offered_per_s, ..DemandRate::zero("quotes", rank) }
 }
 
 fn told(rates: Vec<DemandRate>) -> Option<HallRates> {
