--- a/crates/sillbank_generation/tests/awaited.rs
+++ b/crates/sillbank_generation/tests/awaited.rs
@@ -218,7 +218,7 @@
             }
             _ => {
                 // Killed: what it held and what was on its way is gone.
-                self.connections[stage][engine].engine.forget_all();
+                self.connections[stage][engine].engine.evict_all();
                 self.connections[stage][engine].steps.clear();
                 self.connections[stage][engine].replies.clear();
                 let next = u.choose_index(ENGINES)?;
--- a/crates/sillbank_generation/tests/interleavings.rs
+++ b/crates/sillbank_generation/tests/interleavings.rs
@@ -135,7 +135,7 @@
             }
             8 => {
                 // Killed: what it held and what was on its way to it is gone.
-                self.engines[stage][engine].forget_all();
+                self.engines[stage][engine].evict_all();
                 self.to_engines.retain(|(s, e, _)| (*s, *e) != (stage, engine));
                 self.take(Event::StageLost(stage));
             }
@@ -147,7 +147,7 @@
             10 => self.frozen[stage] = vec![false; SPARES],
             11 if u.ratio(1, 4)? => {
                 // Restarted without anybody noticing.
-                self.engines[stage][engine].forget_all();
+                self.engines[stage][engine].evict_all();
                 self.restarted = true;
             }
             _ => {}
--- a/crates/sillbank_load/src/experiment/mod.rs
+++ b/crates/sillbank_load/src/experiment/mod.rs
@@ -142,7 +142,7 @@
         if engine.top != top.name || is_lost(number) {
             continue;
         }
-        let most = kind.most_tokens_per_s(usize::from(STAGE_LAYERS), prompt_per_token);
+        let most = kind.max_tokens_per_s(usize::from(STAGE_LAYERS), prompt_per_token);
         let factor = match slowed {
             Some((kind, factor)) if kind == engine.kind => factor.parse().unwrap_or(1.0),
             _ => 1.0,
--- a/crates/sillbank_model/src/kinds.rs
+++ b/crates/sillbank_model/src/kinds.rs
@@ -1,23 +1,23 @@
-//! Cost models of five accelerator kinds, for a stage of eight layers.
+//! Cost models of five kinds of accelerators, for a stage of eight layers.
 
-/// What steps cost on one kind.
+/// Costs of steps on one kind of accelerator.
 #[derive(Debug, Clone, Copy)]
 pub struct KindCost {
-    /// Name.
+    /// Name of the kind.
     pub name: &'static str,
-    /// Cost of a batch, whatever is in it, in microseconds.
+    /// Fixed cost of a batch, in microseconds.
     pub fixed_us: f64,
     /// Cost of each sequence in the batch, in microseconds.
     pub per_sequence_us: f64,
     /// Cost of each position of a prefill, in microseconds.
     pub prefill_us_per_token: f64,
-    /// Positions of KV cache that fit.
+    /// Size of the KV cache, in positions.
     pub kv_tokens: u32,
-    /// Sequences in one batch.
+    /// Maximum number of sequences in one batch.
     pub max_batch: usize,
 }
 
-/// The kinds, quickest first; a factor of five lies between first and last.
+/// All kinds, fastest first; the last is about five times slower than the first.
 pub const KINDS: [KindCost; 5] = [
     KindCost {
         name: "k1",
@@ -61,18 +61,18 @@
     },
 ];
 
-/// The kind of this name.
+/// The kind with this name.
 pub fn find_kind(name: &str) -> Option<KindCost> {
     KINDS.into_iter().find(|kind| kind.name == name)
 }
 
 impl KindCost {
-    /// Most tokens a second of a stage of `layers` when each token of an answer brings
-    /// `prompt_per_token` positions of prompt with it: full batches, one after another.
-    pub fn most_tokens_per_s(&self, layers: usize, prompt_per_token: f64) -> f64 {
-        let size = self.max_batch as f64;
+    /// Maximum throughput of a stage of `layers` layers, in answer tokens per second, with full batches
+    /// one after another. For each answer token, `prompt_per_token` positions of prompt are prefilled.
+    pub fn max_tokens_per_s(&self, layers: usize, prompt_per_token: f64) -> f64 {
+        let batch_size = self.max_batch as f64;
         let per_token = self.per_sequence_us + self.prefill_us_per_token * prompt_per_token;
-        let batch_us = (self.fixed_us + size * per_token) * layers as f64 / 8.0;
-        size / batch_us * 1e6
+        let batch_us = (self.fixed_us + batch_size * per_token) * layers as f64 / 8.0;
+        batch_size / batch_us * 1e6
     }
 }
--- a/crates/sillbank_model/src/lib.rs
+++ b/crates/sillbank_model/src/lib.rs
@@ -1,8 +1,8 @@
-//! The small stand-in model: a deterministic function in place of a neural network.
+//! Stand-in model for tests: a deterministic function in place of a neural network.
 //!
-//! Each layer mixes the activation that enters it with its own key/value digest, and the digest
-//! with the activation. Every token therefore depends on every layer having run exactly once, in
-//! order, at every earlier position: a skipped, repeated or reordered layer changes the answer.
+//! Each layer mixes its input activation with its own key/value digest, and the digest with the
+//! resulting activation. Every token therefore depends on every layer having run exactly once and in
+//! order at every earlier position: a skipped, repeated or reordered layer changes the answer.
 
 #![forbid(unsafe_code)]
 
@@ -24,18 +24,19 @@
 }
 
 impl KvDigest {
-    /// An empty cache for the layers.
+    /// Creates an empty cache for the layers.
     pub fn new(layers: LayerRange) -> Self {
         Self { layers, digests: vec![0; layers.len()] }
     }
 
-    /// Runs every held layer once and returns the activation that leaves the last.
+    /// Runs every layer once and returns the output activation of the last.
     pub fn run(&mut self, activation: u64) -> u64 {
         (self.layers.first..self.layers.end)
-            .fold(activation, |act, layer| self.run_layer(act, layer))
+            .fold(activation, |activation, layer| self.run_layer(activation, layer))
     }
 
-    /// Runs one layer. Exposed so that a stand-in told to misbehave can skip or repeat one.
+    /// Runs one layer and returns its output activation. Public for fault injection: a stand-in can skip
+    /// or repeat a layer.
     pub fn run_layer(&mut self, activation: u64, layer: u16) -> u64 {
         let digest = &mut self.digests[usize::from(layer - self.layers.first)];
         let out = mix(activation ^ mix(u64::from(layer) + 1) ^ digest.rotate_left(7));
@@ -44,22 +45,22 @@
     }
 }
 
-/// The token drawn from the last layer's activation.
+/// Samples a token from the last layer's activation.
 pub fn sample(activation: u64, seed: u64) -> TokenId {
     (mix(activation ^ seed) % u64::from(VOCABULARY)) as TokenId
 }
 
-/// The activation that enters layer 0 for a token.
+/// The input activation of layer 0 for a token.
 pub fn embed(token: TokenId) -> u64 {
     u64::from(token)
 }
 
-/// Splits text at white space and gives each word its token id.
+/// Splits text at whitespace and maps each word to a token id.
 pub fn tokenize(text: &str) -> Vec<TokenId> {
     text.split_whitespace().map(token_of_word).collect()
 }
 
-/// The text of a generated token, with its leading space.
+/// The text of a generated token, with a leading space.
 pub fn detokenize(token: TokenId) -> String {
     const SYLLABLES: [&str; 16] = [
         "ka", "lo", "mi", "ne", "ra", "su", "ta", "vo", "be", "du", "fi", "go", "ha", "je", "pu",
@@ -69,7 +70,7 @@
     format!(" {}{}{}", part(8), part(4), part(0))
 }
 
-/// The whole answer, computed in one place: what an undisturbed run must give.
+/// Computes a whole answer with all layers in one place; a distributed run must give the same answer.
 pub fn reference_answer(
     prompt: &[TokenId],
     layers: u16,
--- a/crates/sillbank_model/tests/engine.rs
+++ b/crates/sillbank_model/tests/engine.rs
@@ -1,4 +1,4 @@
-//! What an engine promises about steps.
+//! Tests of how an engine runs, repeats and refuses steps.
 
 use sillbank_core::prelude::*;
 use sillbank_model::engine::{EngineCore, LayerFaults};
@@ -23,8 +23,9 @@
     }
 }
 
+/// An answer that is generated step by step is that of `reference_answer`.
 #[test]
-fn a_whole_answer_equals_the_reference() {
+fn answer_equals_the_reference() {
     let mut engine = engine();
     let mut answer = Vec::new();
     let mut inputs = vec![5, 6, 7];
@@ -41,20 +42,22 @@
     assert_eq!(answer, reference_answer(&[5, 6, 7], 4, 7, 10));
 }
 
+/// A step that is sent twice, as after a lost reply, runs once and gives the same outcome twice.
 #[test]
-fn the_last_step_again_gives_the_last_answer_and_runs_nothing() {
+fn repeated_step_returns_the_same_outcome_and_runs_nothing() {
     let mut engine = engine();
     let first = engine.run_step(&step(1, 0, &[5, 6]));
 
-    let again = engine.run_step(&step(1, 0, &[5, 6]));
+    let second = engine.run_step(&step(1, 0, &[5, 6]));
 
-    assert_eq!(first, again);
+    assert_eq!(first, second);
     assert_eq!(engine.ledger.len(), 1);
     assert_eq!((engine.ledger[0].start, engine.ledger[0].end), (0, 2));
 }
 
+/// A step of an outdated attempt is refused, and the refusal contains the newest attempt.
 #[test]
-fn a_smaller_attempt_is_refused_and_told_the_newest() {
+fn lower_attempt_is_refused_with_the_newest() {
     let mut engine = engine();
     engine.run_step(&step(9, 0, &[5]));
 
@@ -63,8 +66,9 @@
     assert_eq!(outcome, StepOutcome::Refused(Refusal::StaleAttempt { newest: 9 }));
 }
 
+/// A step that skips positions is refused, and the refusal contains the positions in the KV cache.
 #[test]
-fn a_gap_is_refused_and_told_what_is_held() {
+fn gap_is_refused_with_the_number_of_positions() {
     let mut engine = engine();
     engine.run_step(&step(1, 0, &[5]));
 
@@ -73,19 +77,21 @@
     assert_eq!(outcome, StepOutcome::Refused(Refusal::NotNext { built: 1 }));
 }
 
+/// A first step under a higher attempt runs again from an empty KV cache.
 #[test]
-fn a_greater_attempt_begins_anew() {
+fn higher_attempt_restarts_the_request() {
     let mut engine = engine();
     let first = outputs(engine.run_step(&step(1, 0, &[5, 6])));
 
-    let anew = outputs(engine.run_step(&step(2, 0, &[5, 6])));
+    let restarted = outputs(engine.run_step(&step(2, 0, &[5, 6])));
 
-    assert_eq!(first, anew);
+    assert_eq!(first, restarted);
     assert_eq!(engine.ledger.len(), 2);
 }
 
+/// A request that does not fit the KV cache is refused and runs nothing.
 #[test]
-fn a_full_engine_refuses_a_new_request_and_runs_nothing() {
+fn full_engine_refuses_a_new_request() {
     let mut engine = EngineCore::new(LAYERS, 4, 1);
 
     let outcome = engine.run_step(&step(1, 0, &[5, 6]));
@@ -94,8 +100,9 @@
     assert!(engine.ledger.is_empty());
 }
 
+/// Injected faults of a layer show in the outputs and in the ledger.
 #[test]
-fn a_skipped_or_repeated_layer_changes_the_answer_and_shows_in_the_ledger() {
+fn skipped_or_repeated_layer_changes_the_answer_and_the_ledger() {
     let right = outputs(engine().run_step(&step(1, 0, &[5, 6])));
     let skip = LayerFaults { skip_layer: Some(2), ..LayerFaults::default() };
     let repeat = LayerFaults { repeat_layer: Some(2), ..LayerFaults::default() };
--- a/crates/sillbank_standin/src/engine/http.rs
+++ b/crates/sillbank_standin/src/engine/http.rs
@@ -43,7 +43,7 @@
                 let engine = self.engine.borrow();
                 let counts = serde_json::json!({
                     "steps": engine.steps_run, "tokens": engine.tokens_run,
-                    "held": engine.core.held(), "kv_free": engine.core.kv_free(),
+                    "held": engine.core.request_count(), "kv_free": engine.core.kv_free(),
                 });
                 json_reply(StatusCode::OK, &counts)
             }
@@ -62,7 +62,7 @@
         engine.forget_old();
         EngineLoad {
             queued: engine.queue.len() as u32,
-            held: engine.core.held() as u32,
+            held: engine.core.request_count() as u32,
             kv_free_tokens: engine.kv_free(),
             ..EngineLoad::default()
         }
@@ -93,7 +93,7 @@
             Ok(faults) => {
                 let mut engine = self.engine.borrow_mut();
                 if faults.forget {
-                    engine.core.forget_all();
+                    engine.core.evict_all();
                 }
                 engine.core.leaving = faults.leaving;
                 engine.core.faults = LayerFaults {
--- a/crates/sillbank_standin/src/engine/mod.rs
+++ b/crates/sillbank_standin/src/engine/mod.rs
@@ -199,7 +199,7 @@
             let outcome = self.run_step(&waiting.step);
             let load = EngineLoad {
                 queued: self.left_waiting,
-                held: self.core.held() as u32,
+                held: self.core.request_count() as u32,
                 wait_us: started.duration_since(waiting.arrived).as_micros() as u32,
                 run_us: time.as_micros() as u32,
                 batch: size,
@@ -264,7 +264,7 @@
         {
             self.loading = None;
             self.layers = layers;
-            self.core.hold(layers);
+            self.core.set_layers(layers);
         }
         EngineState {
             layers: self.layers,
@@ -279,7 +279,7 @@
         self.used.retain(|uid, used| {
             let keep = used.elapsed() < FORGET_AFTER;
             if !keep {
-                core.forget(uid);
+                core.evict(uid);
             }
             keep
         });
