--- a/crates/sillbank_chart/src/lib.rs
+++ b/crates/sillbank_chart/src/lib.rs
@@ -1,7 +1,7 @@
-//! State charts kept in TOML files, checked at start and compiled to dense tables.
+//! State charts in TOML files, validated at startup and compiled to dense tables.
 //!
-//! A chart names its states, and for each state either a transition or an explicit `ignore` for
-//! every event. Look-ups go through two indices, never through strings.
+//! A chart lists its states and, for each state and event, either a transition or an explicit
+//! `ignore`. Look-ups use two indices and no strings.
 
 #![forbid(unsafe_code)]
 
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// A small enumeration whose members a chart file names.
+/// An enumeration whose variants have names in chart files.
 pub trait Named: Copy + Debug + PartialEq + 'static {
-    /// All members, in the order of their indices.
+    /// All variants, in the order of their indices.
     const ALL: &'static [Self];
-    /// The member's name in chart files.
+    /// The variant's name in chart files.
     fn name(self) -> &'static str;
-    /// The member's place in [`Named::ALL`].
+    /// The variant's index in [`Named::ALL`].
     fn index(self) -> usize;
 }
 
@@ -34,42 +34,42 @@
     };
 }
 
-/// What a chart file may get wrong. Each message names the remedy.
+/// Error in a chart file. Each message says how to correct it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChartError {
-    /// The file is not the TOML a chart is made of.
+    /// The file is not valid TOML or does not have the fields of a chart.
     #[error("the chart is not readable: {0}; correct the TOML")]
     Syntax(String),
-    /// A name that the code does not know.
+    /// The file contains a name that the code does not define.
     #[error("unknown {what} '{name}'; use one of: {known}")]
     UnknownName {
-        /// State, event or action.
+        /// What the name stands for: state, event or action.
         what: &'static str,
         /// The name in the file.
         name: String,
-        /// The names the code knows.
+        /// The names that the code defines.
         known: String,
     },
     /// A state neither handles nor ignores an event.
     #[error("state '{state}' leaves out event '{event}'; add a transition or list it in 'ignore'")]
     Unhandled {
-        /// The state.
+        /// Name of the state.
         state: &'static str,
-        /// The event.
+        /// Name of the event.
         event: &'static str,
     },
-    /// An event is both handled and ignored.
+    /// A state both handles and ignores an event.
     #[error("state '{state}' both handles and ignores event '{event}'; keep one of the two")]
     Ambiguous {
-        /// The state.
+        /// Name of the state.
         state: &'static str,
-        /// The event.
+        /// Name of the event.
         event: &'static str,
     },
-    /// No path leads from the initial state to this one.
+    /// No sequence of transitions leads from the initial state to this one.
     #[error("state '{0}' cannot be reached; add a transition to it or remove it")]
     Unreachable(&'static str),
-    /// The code knows a state that the file leaves out.
+    /// The file lacks a state that the code defines.
     #[error("state '{0}' is missing; add a [state.{0}] table")]
     MissingState(&'static str),
 }
@@ -97,80 +97,82 @@
     action: String,
 }
 
-/// One step of a chart: the action to take and the state that follows.
+/// A transition: the action to take and the next state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transition<S, A> {
-    /// State after the event.
+    /// Next state.
     pub to: S,
-    /// Action that the code carries out.
+    /// Action to take.
     pub action: A,
 }
 
-/// A checked chart over states `S`, events `E` and actions `A`.
+/// A validated chart with states `S`, events `E` and actions `A`.
 #[derive(Debug, Clone)]
 pub struct Chart<S, E, A> {
     initial: S,
+    /// Transitions by state and event; `None` where the event is ignored.
     table: Vec<Option<Transition<S, A>>>,
     events: std::marker::PhantomData<E>,
 }
 
 impl<S: Named, E: Named, A: Named> Chart<S, E, A> {
-    /// Reads and checks a chart.
+    /// Parses and validates a chart.
     ///
     /// # Errors
-    /// The first fault found, as a [`ChartError`].
+    /// A [`ChartError`] for the first error found.
     pub fn parse(text: &str) -> Result<Self, ChartError> {
         let file: ChartFile =
             toml::from_str(text).map_err(|e| ChartError::Syntax(e.message().to_owned()))?;
-        let initial = find::<S>("state", &file.initial)?;
+        let initial = find_by_name::<S>("state", &file.initial)?;
         let mut table = vec![None; S::ALL.len() * E::ALL.len()];
         for name in file.state.keys() {
-            find::<S>("state", name)?;
+            find_by_name::<S>("state", name)?;
         }
         for state in S::ALL {
             let Some(body) = file.state.get(state.name()) else {
                 return Err(ChartError::MissingState(state.name()));
             };
-            fill_state::<S, E, A>(*state, body, &mut table)?;
+            add_state::<S, E, A>(*state, body, &mut table)?;
         }
         let chart = Self { initial, table, events: std::marker::PhantomData };
         chart.check_reachable()?;
         Ok(chart)
     }
 
-    /// The state a new machine starts in.
+    /// The initial state.
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// The transition for an event, or `None` where the chart ignores it.
+    /// The transition for an event; `None` if the chart ignores it in this state.
     pub fn step(&self, state: S, event: E) -> Option<Transition<S, A>> {
         self.table[state.index() * E::ALL.len() + event.index()]
     }
 
     fn check_reachable(&self) -> Result<(), ChartError> {
-        let mut seen = vec![false; S::ALL.len()];
-        let mut todo = vec![self.initial];
-        while let Some(state) = todo.pop() {
-            if std::mem::replace(&mut seen[state.index()], true) {
+        let mut visited = vec![false; S::ALL.len()];
+        let mut stack = vec![self.initial];
+        while let Some(state) = stack.pop() {
+            if std::mem::replace(&mut visited[state.index()], true) {
                 continue;
             }
-            todo.extend(E::ALL.iter().filter_map(|e| self.step(state, *e)).map(|t| t.to));
+            stack.extend(E::ALL.iter().filter_map(|e| self.step(state, *e)).map(|t| t.to));
         }
-        match S::ALL.iter().find(|s| !seen[s.index()]) {
+        match S::ALL.iter().find(|s| !visited[s.index()]) {
             Some(state) => Err(ChartError::Unreachable(state.name())),
             None => Ok(()),
         }
     }
 }
 
-fn fill_state<S: Named, E: Named, A: Named>(
+/// Adds the transitions of one state to the table.
+fn add_state<S: Named, E: Named, A: Named>(
     state: S,
     body: &StateFile,
     table: &mut [Option<Transition<S, A>>],
 ) -> Result<(), ChartError> {
     for name in body.on.keys().chain(&body.ignore) {
-        find::<E>("event", name)?;
+        find_by_name::<E>("event", name)?;
     }
     for event in E::ALL {
         let handled = body.on.get(event.name());
@@ -185,8 +187,8 @@
             }
             (None, true) => {}
             (Some(transition), false) => {
-                let to = find::<S>("state", &transition.to)?;
-                let action = find::<A>("action", &transition.action)?;
+                let to = find_by_name::<S>("state", &transition.to)?;
+                let action = find_by_name::<A>("action", &transition.action)?;
                 table[state.index() * E::ALL.len() + event.index()] =
                     Some(Transition { to, action });
             }
@@ -195,7 +197,7 @@
     Ok(())
 }
 
-fn find<N: Named>(what: &'static str, name: &str) -> Result<N, ChartError> {
+fn find_by_name<N: Named>(what: &'static str, name: &str) -> Result<N, ChartError> {
     N::ALL.iter().copied().find(|n| n.name() == name).ok_or_else(|| ChartError::UnknownName {
         what,
         name: name.to_owned(),
--- a/crates/sillbank_chart/tests/checks.rs
+++ b/crates/sillbank_chart/tests/checks.rs
@@ -1,4 +1,4 @@
-//! A chart file with a fault is refused, and the message names it.
+//! Tests that chart files with errors are rejected with a message that says what is wrong.
 #![allow(clippy::unwrap_used)]
 
 use sillbank_chart::{Chart, ChartError, Transition, named_enum};
@@ -15,7 +15,7 @@
 
 type DoorChart = Chart<Door, Hand, Noise>;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 initial = "shut"
 [state.shut]
 on.push = { to = "open", action = "creak" }
@@ -25,9 +25,10 @@
 ignore = ["push"]
 "#;
 
+/// A valid chart starts in its initial state, returns its transitions and ignores listed events.
 #[test]
-fn a_good_chart_gives_its_transitions() {
-    let chart = DoorChart::parse(GOOD).unwrap();
+fn valid_chart_returns_its_transitions() {
+    let chart = DoorChart::parse(VALID).unwrap();
 
     let step = chart.step(chart.initial(), Hand::Push);
 
@@ -35,46 +36,51 @@
     assert_eq!(chart.step(Door::Shut, Hand::Pull), None);
 }
 
+/// Every state must handle or ignore every event.
 #[test]
-fn an_event_left_out_is_refused() {
-    let text = GOOD.replace("ignore = [\"pull\"]", "");
+fn event_neither_handled_nor_ignored_is_rejected() {
+    let text = VALID.replace("ignore = [\"pull\"]", "");
 
     let error = DoorChart::parse(&text).unwrap_err();
 
     assert_eq!(error, ChartError::Unhandled { state: "shut", event: "pull" });
 }
 
+/// A state must not handle and ignore the same event.
 #[test]
-fn an_event_both_handled_and_ignored_is_refused() {
-    let text = GOOD.replace("[\"pull\"]", "[\"pull\", \"push\"]");
+fn event_both_handled_and_ignored_is_rejected() {
+    let text = VALID.replace("[\"pull\"]", "[\"pull\", \"push\"]");
 
     let error = DoorChart::parse(&text).unwrap_err();
 
     assert_eq!(error, ChartError::Ambiguous { state: "shut", event: "push" });
 }
 
+/// Every state must be reachable from the initial state.
 #[test]
-fn a_state_without_a_way_to_it_is_refused() {
-    let text = GOOD.replace("to = \"open\"", "to = \"shut\"");
+fn unreachable_state_is_rejected() {
+    let text = VALID.replace("to = \"open\"", "to = \"shut\"");
 
     let error = DoorChart::parse(&text).unwrap_err();
 
     assert_eq!(error, ChartError::Unreachable("open"));
 }
 
+/// Unknown states and actions are errors whose messages list the known names.
 #[test]
-fn unknown_names_are_refused_with_the_known_ones() {
-    for (good, bad) in [("to = \"open\"", "to = \"ajar\""), ("\"creak\"", "\"bang\"")] {
-        let error = DoorChart::parse(&GOOD.replace(good, bad)).unwrap_err();
+fn unknown_names_are_rejected_with_the_known_names() {
+    for (valid, invalid) in [("to = \"open\"", "to = \"ajar\""), ("\"creak\"", "\"bang\"")] {
+        let error = DoorChart::parse(&VALID.replace(valid, invalid)).unwrap_err();
 
         assert!(matches!(error, ChartError::UnknownName { .. }), "{error}");
         assert!(error.to_string().contains("use one of"), "{error}");
     }
 }
 
+/// Every state that the code defines must have a table in the file.
 #[test]
-fn a_missing_state_is_refused() {
-    let text = GOOD.split("[state.open]").next().unwrap();
+fn missing_state_is_rejected() {
+    let text = VALID.split("[state.open]").next().unwrap();
 
     let error = DoorChart::parse(text).unwrap_err();
 
