--- a/crates/sillbank_layers/src/find.rs
+++ b/crates/sillbank_layers/src/find.rs
@@ -49,20 +49,20 @@
     pub cost_ms: f64,
 }
 
-/// Finds the cheapest path for a request that starts in the hall `home`.
+/// Finds the cheapest path for a request that starts in `local_hall`.
 ///
 /// Returns `None` if no endpoint holds some layer.
 pub fn find_path(
     holders: &[LayerHolder],
     layers: u16,
-    home: &str,
+    local_hall: &str,
     crossing: CrossingCost,
 ) -> Option<FoundPath> {
     // best[end][holder]: the cheapest way to run all layers before `end` with `holder` running last.
     let mut best: Vec<Vec<Option<Step>>> = vec![vec![None; holders.len()]; usize::from(layers) + 1];
     for (index, holder) in holders.iter().enumerate() {
         if holder.layers.first == 0 && !holder.layers.is_empty() {
-            let entry = if holder.hall == home { 0.0 } else { crossing.request_ms };
+            let entry = if holder.hall == local_hall { 0.0 } else { crossing.request_ms };
             extend(&mut best, index, holder, 0, entry, layers);
         }
     }
--- a/crates/sillbank_layers/src/path_repair.rs
+++ b/crates/sillbank_layers/src/path_repair.rs
@@ -13,7 +13,7 @@
     lost: &str,
     holders: &[LayerHolder],
     layers: u16,
-    home: &str,
+    local_hall: &str,
     crossing: CrossingCost,
 ) -> Option<LayerPath> {
     let position = path.parts().iter().position(|part| part.endpoint == lost).filter(|p| *p > 0)?;
@@ -23,7 +23,7 @@
         .filter(|holder| !path.contains(&holder.endpoint))
         .filter_map(|holder| clip(holder, gap))
         .collect();
-    let bridge = find_path(&candidates, gap.len() as u16, home, crossing)?.path;
+    let bridge = find_path(&candidates, gap.len() as u16, local_hall, crossing)?.path;
     let mut parts: Vec<PathPart> = path.parts()[..position].to_vec();
     parts.extend(bridge.parts().iter().map(|part| shift(part, gap.first)));
     parts.extend_from_slice(&path.parts()[position + 1..]);
--- a/crates/sillbank_layers/tests/layers.rs
+++ b/crates/sillbank_layers/tests/layers.rs
@@ -55,9 +55,9 @@
     assert!(path(vec![part("a", 0, 5), part("a", 5, 10)]).is_err());
 }
 
-/// A path within the home hall is chosen over one endpoint of another hall.
+/// A path within the local hall is chosen over one endpoint of another hall.
 #[test]
-fn path_stays_in_the_home_hall_if_possible() {
+fn path_stays_in_the_local_hall_if_possible() {
     let holders = [holder("a1", "a", 0, 6), holder("b1", "b", 0, 10), holder("a2", "a", 5, 10)];
 
     let path = find_path(&holders, 10, "a", CROSSING).expect("all layers are held").path;
@@ -234,12 +234,12 @@
 /// An endpoint unloads layers that others hold if they take memory needed for its KV cache.
 #[test]
 fn plan_unloads_layers_that_leave_too_little_kv_cache() {
-    let mut crowded = plan_member("a", 12, Some(range(0, 12)));
-    crowded.layer_count_costs = (0..=12).map(|n| if n > 10 { 20.0 } else { 0.0 }).collect();
+    let mut overfull = plan_member("a", 12, Some(range(0, 12)));
+    overfull.layer_count_costs = (0..=12).map(|n| if n > 10 { 20.0 } else { 0.0 }).collect();
     let other = plan_member("b", 12, Some(range(10, 20)));
     let weights = PlanWeights { load: 1.0, unload: 2.0, balance: 0.1 };
 
-    let plan = plan_placement(&[crowded, other], 20, weights).expect("it fits");
+    let plan = plan_placement(&[overfull, other], 20, weights).expect("it fits");
 
     assert_eq!(plan[0].holds, range(0, 10));
 }
@@ -318,11 +318,11 @@
 }
 
 /// Cost of a path by the rules of `find_path`.
-fn path_cost(path: &LayerPath, holders: &[LayerHolder], home: &str) -> f64 {
+fn path_cost(path: &LayerPath, holders: &[LayerHolder], local_hall: &str) -> f64 {
     let holder_of =
         |part: &PathPart| holders.iter().find(|h| h.endpoint == part.endpoint).expect("known");
     let first = holder_of(&path.parts()[0]);
-    let mut cost = if first.hall == home { 0.0 } else { CROSSING.request_ms };
+    let mut cost = if first.hall == local_hall { 0.0 } else { CROSSING.request_ms };
     for part in path.parts() {
         let holder = holder_of(part);
         cost += holder.use_cost_ms + part.layers.len() as f64 * holder.layer_cost_ms;
