--- a/crates/sillbank_fleet/src/directory.rs
+++ b/crates/sillbank_fleet/src/directory.rs
@@ -1,8 +1,8 @@
-//! The endpoints this VM believes in.
+//! The endpoints that this VM knows.
 
-use crate::difference::{ChangeNumber, Difference, Removals};
-use crate::lives::{LifeOrder, compare_lives};
-use crate::reach::{LAPSE_GRACE, StoreReach, StoreTrouble};
+use crate::difference::{ChangeNumber, Difference, Tombstones};
+use crate::incarnations::{IncarnationOrder, compare_incarnations};
+use crate::reachability::{LAPSE_GRACE, StoreFailure, StoreReachability};
 use crate::record::{BornMs, EndpointRecord, Listing, Standing, UnreadableEntry};
 use crate::restore::RestoreGuard;
 use serde::{Deserialize, Serialize};
@@ -13,120 +13,123 @@
 /// A change of one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// The entry is new or says something else.
+    /// The entry is new or has changed.
     Put(EndpointRecord),
-    /// The entry is gone.
+    /// The entry was removed.
     Removed {
-        /// Whose entry it was.
+        /// Endpoint of the entry.
         id: EndpointId,
-        /// Life that had written it; `None` if that is not known.
+        /// Start of the incarnation that wrote it; `None` if that is not known.
         born_ms: Option<BornMs>,
     },
-    /// The entry cannot be read any more.
+    /// The entry can no longer be read.
     Unreadable(UnreadableEntry),
-    /// The entry is not listed any more and its endpoint is still used, as the entry may have lapsed. Only told by other VMs.
+    /// The entry is no longer listed, but may only have lapsed, so its endpoint is still used. Only
+    /// reported by other VMs.
     Lapsed {
-        /// Whose entry it was.
+        /// Endpoint of the entry.
         id: EndpointId,
-        /// What is left of its grace at the VM that reports it, in milliseconds.
+        /// Time left of its grace period at the reporting VM, in milliseconds.
         left_ms: u64,
     },
 }
 
 /// Whether an entry is still listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Lapse {
-    /// It is.
+enum ListingState {
+    /// It is listed.
     Listed,
-    /// It may have lapsed, by what this VM knows of the store.
-    Own,
-    /// Another VM reported that it may have lapsed; evicted at this moment.
-    Reported(Instant),
+    /// It may have lapsed, judging by the store's reachability from this VM.
+    MayHaveLapsed,
+    /// Another VM reported that it may have lapsed; it is evicted at this moment.
+    ReportedLapsed(Instant),
 }
 
 /// What the removal of an entry means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Removal {
-    /// The endpoint has left: no more work for it.
+    /// The endpoint has left and gets no more work.
     Gone,
-    /// The entry may have lapsed while the store was out of reach; the endpoint stays usable.
+    /// The entry may have lapsed while the store was unreachable; the endpoint stays usable.
     Lapsed,
-    /// Nothing was known of it.
+    /// There was no such entry.
     Unknown,
-    /// The entry of an older life was removed from a store that had been restored from a copy. The store holds none of the newer
-    /// life either, so that one counts as lapsed.
+    /// The entry of an older incarnation was removed from a store that had been restored from a
+    /// copy. The store has no entry of the newer incarnation either, so that one counts as lapsed.
     OlderLife,
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct Entry {
     record: EndpointRecord,
-    /// The newest life that was heard of, by the entry or by the endpoint's own report.
-    newest_life: Option<BornMs>,
-    lapse: Lapse,
-    /// Number of the change that made the record what it is.
+    /// The newest known incarnation, from the entry or from the endpoint's own report.
+    newest_incarnation: Option<BornMs>,
+    listing: ListingState,
+    /// Number of the last change of this entry.
     number: ChangeNumber,
 }
 
-/// Endpoints by their ids.
+/// Endpoint entries by id, with the changes that other directories need.
 #[derive(Debug, Default)]
 pub struct Directory {
-    entries: BTreeMap<EndpointId, Known>,
-    reach: StoreReach,
+    entries: BTreeMap<EndpointId, Entry>,
+    reachability: StoreReachability,
     newest: ChangeNumber,
-    /// Entries by the numbers of the changes that made them what they are.
+    /// Entries by the numbers of their last changes.
     by_number: BTreeMap<ChangeNumber, EndpointId>,
-    removals: Removals,
-    /// Endpoints that were found to have started again, until somebody asks.
-    renewed: Vec<EndpointId>,
-    /// Since the store was last restored from a copy, for a while.
+    tombstones: Tombstones,
+    /// Endpoints found to have restarted, until they are taken.
+    restarted: Vec<EndpointId>,
+    /// Set for a while after the store was restored from a copy.
     restored: Option<RestoreGuard>,
-    /// Endpoints whose entries were held back, until somebody asks.
+    /// Endpoints whose entries were held back, until they are taken.
     held_back: Vec<EndpointId>,
-    /// How often everything was to be read again.
+    /// Number of times a full read was required.
     rereads: u64,
 }
 
 impl Directory {
-    /// A call to the store failed.
-    pub fn on_store_trouble(&mut self, now: Instant, trouble: StoreTrouble) {
-        self.reach.on_trouble(now, trouble);
-    }
-
-    /// A call to the store that was sent at a moment failed. It is no trouble of the store if one that was sent later was
-    /// answered, to this VM or another one; answers whether it is.
-    pub fn on_call_failed(&mut self, sent: Instant, now: Instant, trouble: StoreTrouble) -> bool {
-        let is_trouble = !self.reach.is_outdated(sent);
-        if is_trouble {
-            self.reach.on_trouble(now, trouble);
+    /// Records that a call to the store failed.
+    pub fn on_store_failure(&mut self, now: Instant, failure: StoreFailure) {
+        self.reachability.on_failure(now, failure);
+    }
+
+    /// Records that a call to the store, sent at `sent`, failed; returns whether that is a failure
+    /// of the store. It is not if a call that was sent later was answered, to this VM or another
+    /// one.
+    pub fn on_call_failed(&mut self, sent: Instant, now: Instant, failure: StoreFailure) -> bool {
+        let is_store_failure = !self.reachability.is_superseded(sent);
+        if is_store_failure {
+            self.reachability.on_failure(now, failure);
         }
-        is_trouble
+        is_store_failure
     }
 
-    /// A call to the store that was sent at a moment was answered.
+    /// Records that a call to the store, sent at `sent`, was answered.
     pub fn on_call_answered(&mut self, sent: Instant) {
-        self.reach.on_answered(sent);
+        self.reachability.on_answered(sent);
     }
 
-    /// The store answered this VM or another one that tells of it, to a call that was sent at a moment.
-    /// Only what was sent after the last failed call ends an outage.
-    pub fn on_store_seen(&mut self, sent: Instant) {
-        self.reach.on_seen(sent);
+    /// Records that the store answered a call sent at `sent`, by this VM or by another one that
+    /// reports it. Ends an outage only if that was after the last failed call.
+    pub fn on_store_reachable(&mut self, sent: Instant) {
+        self.reachability.on_reachable(sent);
     }
 
-    /// The store answered this VM, to a call that may have been sent before others failed.
-    pub fn on_store_back(&mut self, now: Instant) {
-        self.reach.on_back(now);
+    /// Records that the store answered this VM. Ends an outage even if the call was sent before
+    /// others failed.
+    pub fn on_store_recovered(&mut self, now: Instant) {
+        self.reachability.on_recovered(now);
     }
 
-    /// The store was found to be restored from a copy. Entries that are missing may be written again, and
-    /// those of endpoints that were known to leave are held back.
+    /// Records that the store was restored from a copy. Missing entries may be written again, and
+    /// entries of endpoints that were known to be leaving are held back.
     pub fn on_restored(&mut self, now: Instant) {
-        self.reach.on_restored(now);
+        self.reachability.on_restored(now);
         self.restored = Some(RestoreGuard::new(now, self.newest));
     }
 
-    /// Takes a whole listing; answers what became of each entry that is missing in it.
+    /// Applies a complete listing; returns what the removal of each missing entry means.
     pub fn on_listing(
         &mut self,
         now: Instant,
@@ -144,80 +147,83 @@
         for entry in unreadable {
             self.on_unreadable(&entry.id);
         }
-        missing.into_iter().map(|id| (id.clone(), self.remove(now, &id))).collect()
+        missing.into_iter().map(|id| (id.clone(), self.remove_unless_lapsed(now, &id))).collect()
     }
 
-    /// Takes a change from a VM that has decided what lapsed and what is gone; answers whether an entry
-    /// went.
-    pub fn on_told_change(&mut self, now: Instant, change: Change) -> bool {
+    /// Applies a change from a VM that has already decided what lapsed and what is gone; returns
+    /// whether an entry was removed.
+    pub fn on_replicated_change(&mut self, now: Instant, change: Change) -> bool {
         match change {
             Change::Put(record) => {
                 self.put(record);
                 false
             }
-            Change::Removed { id, born_ms } => match self.is_of_older_life(&id, born_ms) {
+            Change::Removed { id, born_ms } => match self.is_older_incarnation(&id, born_ms) {
                 true => {
-                    self.lapse(&id, Lapse::Own);
+                    self.mark_lapsed(&id, ListingState::MayHaveLapsed);
                     false
                 }
-                false => self.take_out(&id),
+                false => self.evict(&id),
             },
             Change::Unreadable(entry) => {
                 self.on_unreadable(&entry.id);
                 false
             }
             Change::Lapsed { id, left_ms } => {
-                self.on_told_lapse(now, &id, left_ms);
+                self.on_reported_lapse(now, &id, left_ms);
                 false
             }
         }
     }
 
-    /// An endpoint told of its life itself. What its entry says of layers is believed no more if that was
-    /// written by an older one; all else of the entry holds until the newer life writes its own.
-    pub fn on_life(&mut self, id: &str, born_ms: BornMs) {
-        let Some(known) = self.entries.get_mut(id) else {
+    /// Records the incarnation that an endpoint reported itself. If it is newer than the one that
+    /// wrote the entry, the layers of the entry are dropped; the rest stays valid until the newer
+    /// incarnation writes its own entry.
+    pub fn on_incarnation(&mut self, id: &str, born_ms: BornMs) {
+        let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        let order = compare_lives(Some(born_ms), known.newest_life);
-        if order == LifeOrder::Older {
+        let order = compare_incarnations(Some(born_ms), entry.newest_incarnation);
+        if order == IncarnationOrder::Older {
             return;
         }
-        known.newest_life = Some(born_ms);
-        if order == LifeOrder::Same {
+        entry.newest_incarnation = Some(born_ms);
+        if order == IncarnationOrder::Same {
             return;
         }
-        let (record, lapse) = (known.record.clone(), known.lapse);
-        self.renewed.push(id.to_owned());
-        self.keep(EndpointRecord { layers: None, ..record }, Some(born_ms), lapse);
+        let (record, listing) = (entry.record.clone(), entry.listing);
+        self.restarted.push(id.to_owned());
+        self.upsert(EndpointRecord { layers: None, ..record }, Some(born_ms), listing);
     }
 
-    /// The newest life of an endpoint that was heard of.
-    pub fn newest_life(&self, id: &str) -> Option<BornMs> {
-        self.entries.get(id)?.newest_life
+    /// The newest known incarnation of an endpoint.
+    pub fn newest_incarnation(&self, id: &str) -> Option<BornMs> {
+        self.entries.get(id)?.newest_incarnation
     }
 
-    /// Endpoints that were found to have started again since this was last asked.
-    pub fn take_renewed(&mut self) -> Vec<EndpointId> {
-        std::mem::take(&mut self.renewed)
+    /// Takes the endpoints found to have restarted since the last call.
+    pub fn take_restarted(&mut self) -> Vec<EndpointId> {
+        std::mem::take(&mut self.restarted)
     }
 
-    /// Endpoints that a restored store listed again and that were held back since this was last asked.
+    /// Takes the endpoints that a restored store listed again and that were held back since the
+    /// last call.
     pub fn take_held_back(&mut self) -> Vec<EndpointId> {
         std::mem::take(&mut self.held_back)
     }
 
-    /// How often everything was to be read again so far, from the store or from whoever tells of it.
+    /// Number of times so far that a full read was required, from the store or from the VM that
+    /// replicates it.
     pub fn rereads(&self) -> u64 {
         self.rereads
     }
 
-    /// Ends all entries but those that a VM has told of; answers the ids of those that went.
-    pub fn retain_told(&mut self, told: &BTreeSet<EndpointId>) -> Vec<EndpointId> {
-        let is_missing = |id: &&EndpointId| !told.contains(*id);
+    /// Removes all entries but the listed ones; returns the ids of the removed ones.
+    pub fn retain_listed(&mut self, listed: &BTreeSet<EndpointId>) -> Vec<EndpointId> {
+        let is_missing = |id: &&EndpointId| !listed.contains(*id);
         let missing: Vec<EndpointId> = self.entries.keys().filter(is_missing).cloned().collect();
         for id in &missing {
-            self.take_out(id);
+            self.evict(id);
         }
         missing
     }
@@ -227,114 +233,114 @@
         self.newest
     }
 
-    /// What another directory lacks that has seen the changes up to `since`: at most `most` changes, in
-    /// the order of their numbers. One that has seen less than what is still remembered of removals, or a
-    /// change that there was not, is told everything anew.
-    pub fn difference(&self, now: Instant, since: ChangeNumber, most: usize) -> Difference {
+    /// The next `limit` changes, by number, for a directory that has seen the changes up to
+    /// `since`. A snapshot of all entries is started if tombstones after `since` were dropped, or
+    /// if there was no such change.
+    pub fn difference(&self, now: Instant, since: ChangeNumber, limit: usize) -> Difference {
         let is_unknown = since == 0 || since > self.newest;
-        let begins_anew = is_unknown || self.removals.are_forgotten_after(since);
-        let since = if begins_anew { 0 } else { since };
-        // One more than wanted tells whether there are more.
+        let starts_snapshot = is_unknown || self.tombstones.are_incomplete_after(since);
+        let since = if starts_snapshot { 0 } else { since };
+        // One more than the limit shows whether there are more.
         let mut numbered: Vec<(ChangeNumber, Change)> =
-            self.puts_since(now, since).take(most + 1).collect();
-        if !begins_anew {
-            let gone = self.removals.since(since).take(most + 1);
-            numbered.extend(gone);
+            self.entries_since(now, since).take(limit + 1).collect();
+        if !starts_snapshot {
+            let removed = self.tombstones.since(since).take(limit + 1);
+            numbered.extend(removed);
             numbered.sort_unstable_by_key(|(number, _)| *number);
         }
-        let goes_on = numbered.len() > most;
-        numbered.truncate(most);
+        let has_more = numbered.len() > limit;
+        numbered.truncate(limit);
         let seen = match numbered.last() {
-            Some((number, _)) if goes_on => *number,
+            Some((number, _)) if has_more => *number,
             _ => self.newest,
         };
         let changes = numbered.into_iter().map(|(_, change)| change).collect();
-        Difference { begins_anew, changes, goes_on, seen }
+        Difference { starts_snapshot, changes, has_more, seen }
     }
 
-    /// Takes one change; answers what a removal means.
+    /// Applies one change read from the store; returns what a removal means.
     pub fn on_change(&mut self, now: Instant, change: Change) -> Option<Removal> {
         match change {
             Change::Put(record) => {
                 self.put(record);
                 None
             }
-            Change::Removed { id, born_ms } => match self.is_of_older_life(&id, born_ms) {
+            Change::Removed { id, born_ms } => match self.is_older_incarnation(&id, born_ms) {
                 true => {
-                    self.lapse(&id, Lapse::Own);
+                    self.mark_lapsed(&id, ListingState::MayHaveLapsed);
                     Some(Removal::OlderLife)
                 }
-                false => Some(self.remove(now, &id)),
+                false => Some(self.remove_unless_lapsed(now, &id)),
             },
             Change::Unreadable(entry) => {
                 self.on_unreadable(&entry.id);
                 None
             }
             Change::Lapsed { id, left_ms } => {
-                self.on_told_lapse(now, &id, left_ms);
+                self.on_reported_lapse(now, &id, left_ms);
                 None
             }
         }
     }
 
-    /// Ends the grace of lapsed entries that did not come back; answers their ids. What was held back after a
-    /// restore of the store is to be read again when the hold is over.
+    /// Evicts lapsed entries whose grace period is over; returns their ids. Requires a full read
+    /// once the hold after a restore of the store has ended, if entries were held back.
     pub fn on_time(&mut self, now: Instant) -> Vec<EndpointId> {
-        if let Some(guard) = self.restored.take_if(|guard| guard.is_over(now)) {
-            self.rereads += u64::from(guard.has_held());
+        if let Some(guard) = self.restored.take_if(|guard| guard.is_expired(now)) {
+            self.rereads += u64::from(guard.has_held_back());
         }
-        let may_lapse = self.reach.may_lapse(now);
+        let may_lapse = self.reachability.may_lapse(now);
         if !may_lapse {
-            self.reach.end_grace();
+            self.reachability.end_grace();
         }
-        let mut over: Vec<EndpointId> = Vec::new();
-        for (id, known) in &self.entries {
-            let is_over = match known.lapse {
-                Lapse::Listed => false,
-                Lapse::Own => !may_lapse,
-                Lapse::Reported(until) => now >= until,
+        let mut expired: Vec<EndpointId> = Vec::new();
+        for (id, entry) in &self.entries {
+            let is_expired = match entry.listing {
+                ListingState::Listed => false,
+                ListingState::MayHaveLapsed => !may_lapse,
+                ListingState::ReportedLapsed(until) => now >= until,
             };
-            if is_over {
-                over.push(id.clone());
+            if is_expired {
+                expired.push(id.clone());
             }
         }
-        for id in &over {
-            self.take_out(id);
+        for id in &expired {
+            self.evict(id);
         }
-        over
+        expired
     }
 
-    /// When the next lapsed entry is to be evicted; `None` if there is none or the store is away.
-    pub fn next_lapse_end(&self) -> Option<Instant> {
-        let ends = self.entries.values().filter_map(|known| match known.lapse {
-            Lapse::Listed => None,
-            Lapse::Own => self.reach.grace_end(),
-            Lapse::Reported(until) => Some(until),
+    /// When the next lapsed entry is evicted; `None` if there is none or the store is unreachable.
+    pub fn next_eviction(&self) -> Option<Instant> {
+        let ends = self.entries.values().filter_map(|entry| match entry.listing {
+            ListingState::Listed => None,
+            ListingState::MayHaveLapsed => self.reachability.grace_end(),
+            ListingState::ReportedLapsed(until) => Some(until),
         });
         ends.min()
     }
 
-    /// An entry, whether or not it takes work.
+    /// An entry, whether or not its endpoint accepts new work.
     pub fn get(&self, id: &str) -> Option<&EndpointRecord> {
-        self.entries.get(id).map(|known| &known.record)
+        self.entries.get(id).map(|entry| &entry.record)
     }
 
-    /// An endpoint that takes new work.
+    /// An entry whose endpoint accepts new work.
     pub fn usable(&self, id: &str) -> Option<&EndpointRecord> {
         self.get(id).filter(|record| record.standing == Standing::Ready)
     }
 
-    /// All entries, in the order of their ids.
+    /// All entries, sorted by id.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointRecord> {
-        self.entries.values().map(|known| &known.record)
+        self.entries.values().map(|entry| &entry.record)
     }
 
-    /// The endpoints of a service that take new work, in the order of their ids.
+    /// The endpoints of a service that accept new work, sorted by id.
     pub fn usable_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a EndpointRecord> {
-        let takes = move |record: &&EndpointRecord| {
+        let is_usable = move |record: &&EndpointRecord| {
             record.service == service && record.standing == Standing::Ready
         };
-        self.iter().filter(takes)
+        self.iter().filter(is_usable)
     }
 
     /// Number of entries.
@@ -347,7 +353,7 @@
         self.entries.is_empty()
     }
 
-    fn puts_since(
+    fn entries_since(
         &self,
         now: Instant,
         since: ChangeNumber,
@@ -357,134 +363,145 @@
             left_ms: left.as_millis() as u64,
         };
         self.by_number.range(since.saturating_add(1)..).filter_map(move |(number, id)| {
-            let known = self.entries.get(id)?;
-            let change = match known.lapse {
-                Lapse::Listed => Change::Put(known.record.clone()),
-                Lapse::Own => lapsed(id, self.reach.grace_left(now)),
-                Lapse::Reported(until) => lapsed(id, until.saturating_duration_since(now)),
+            let entry = self.entries.get(id)?;
+            let change = match entry.listing {
+                ListingState::Listed => Change::Put(entry.record.clone()),
+                ListingState::MayHaveLapsed => lapsed(id, self.reachability.grace_left(now)),
+                ListingState::ReportedLapsed(until) => {
+                    lapsed(id, until.saturating_duration_since(now))
+                }
             };
             Some((*number, change))
         })
     }
 
-    /// Whether an entry may come from a restored store that has not heard yet that its endpoint leaves or has left.
+    /// Whether an entry is outdated because the store was restored from a copy that does not know
+    /// yet that the endpoint is leaving or has left.
     fn is_undone_by_restore(&self, record: &EndpointRecord) -> bool {
         let Some(guard) = &self.restored else { return false };
         if record.standing != Standing::Ready {
             return false;
         }
-        let (has_left, newest_life) = match self.entries.get(&record.id) {
-            Some(known) => (known.record.standing == Standing::Leaving, known.newest_life),
+        let (has_left, newest_incarnation) = match self.entries.get(&record.id) {
+            Some(entry) => (entry.record.standing == Standing::Leaving, entry.newest_incarnation),
             None => {
-                let went = self.removals.number_of(&record.id);
-                let went_before = went.is_some_and(|number| number <= guard.before);
-                (went_before, self.removals.newest_life(&record.id))
+                let removal = self.tombstones.number_of(&record.id);
+                let was_removed = removal.is_some_and(|number| number <= guard.newest_before);
+                (was_removed, self.tombstones.newest_incarnation(&record.id))
             }
         };
-        has_left && compare_lives(record.born_ms, newest_life) != LifeOrder::Newer
+        has_left
+            && compare_incarnations(record.born_ms, newest_incarnation) != IncarnationOrder::Newer
     }
 
-    /// Takes an entry unless an older life wrote it.
+    /// Applies an entry unless an older incarnation wrote it or it is held back.
     fn put(&mut self, mut record: EndpointRecord) {
         let is_undone = self.is_undone_by_restore(&record);
         if let Some(guard) = self.restored.as_mut().filter(|_| is_undone) {
-            if guard.hold(&record.id) {
+            if guard.hold_back(&record.id) {
                 self.held_back.push(record.id);
             }
             return;
         }
-        let known = self.entries.get(&record.id);
-        let written_by = known.and_then(|known| known.record.born_ms);
-        let newest_life = match known {
-            Some(known) => known.newest_life,
-            None => self.removals.newest_life(&record.id),
+        let entry = self.entries.get(&record.id);
+        let written_by = entry.and_then(|entry| entry.record.born_ms);
+        let newest_incarnation = match entry {
+            Some(entry) => entry.newest_incarnation,
+            None => self.tombstones.newest_incarnation(&record.id),
         };
-        // Of an endpoint without an entry the newest life that went is all that is known.
-        let known_life = if known.is_some() { written_by } else { newest_life };
-        if compare_lives(record.born_ms, known_life) == LifeOrder::Older {
+        // Without an entry, only the incarnation in the tombstone is known.
+        let known_incarnation = if entry.is_some() { written_by } else { newest_incarnation };
+        if compare_incarnations(record.born_ms, known_incarnation) == IncarnationOrder::Older {
             return;
         }
         record.born_ms = record.born_ms.or(written_by);
-        match compare_lives(record.born_ms, newest_life) {
-            LifeOrder::Newer => self.renewed.push(record.id.clone()),
-            LifeOrder::Older => record.layers = None,
-            LifeOrder::Same => {}
+        match compare_incarnations(record.born_ms, newest_incarnation) {
+            IncarnationOrder::Newer => self.restarted.push(record.id.clone()),
+            IncarnationOrder::Older => record.layers = None,
+            IncarnationOrder::Same => {}
         }
-        let newest_life = record.born_ms.max(newest_life);
-        self.keep(record, newest_life, Lapse::Listed);
+        let newest_incarnation = record.born_ms.max(newest_incarnation);
+        self.upsert(record, newest_incarnation, ListingState::Listed);
     }
 
-    fn keep(&mut self, record: EndpointRecord, newest_life: Option<BornMs>, lapse: Lapse) {
-        if let Some(known) = self.entries.get_mut(&record.id)
-            && known.record == record
-            && known.lapse == lapse
+    fn upsert(
+        &mut self,
+        record: EndpointRecord,
+        newest_incarnation: Option<BornMs>,
+        listing: ListingState,
+    ) {
+        if let Some(entry) = self.entries.get_mut(&record.id)
+            && entry.record == record
+            && entry.listing == listing
         {
-            known.newest_life = newest_life;
+            entry.newest_incarnation = newest_incarnation;
             return;
         }
         self.newest += 1;
-        self.removals.forget(&record.id);
+        self.tombstones.remove(&record.id);
         self.by_number.insert(self.newest, record.id.clone());
-        let known = Known { lapse, newest_life, number: self.newest, record };
-        if let Some(before) = self.entries.insert(known.record.id.clone(), known) {
+        let entry = Entry { listing, newest_incarnation, number: self.newest, record };
+        if let Some(before) = self.entries.insert(entry.record.id.clone(), entry) {
             self.by_number.remove(&before.number);
         }
     }
 
-    /// An endpoint whose entry cannot be read takes no new work until it can be read again.
+    /// Marks an endpoint whose entry cannot be read as leaving: it gets no new work until the entry
+    /// can be read again.
     fn on_unreadable(&mut self, id: &str) {
-        if let Some(known) = self.entries.get(id) {
-            let newest_life = known.newest_life;
-            let record = EndpointRecord { standing: Standing::Leaving, ..known.record.clone() };
-            self.keep(record, newest_life, Lapse::Listed);
+        if let Some(entry) = self.entries.get(id) {
+            let newest_incarnation = entry.newest_incarnation;
+            let record = EndpointRecord { standing: Standing::Leaving, ..entry.record.clone() };
+            self.upsert(record, newest_incarnation, ListingState::Listed);
         }
     }
 
-    /// Another VM told of an entry that may have lapsed. It brings no endpoint back: who has none of its entries has seen it
-    /// go, or has not seen it yet. The grace is not begun anew: the reporting VM may be lost before it ends.
-    fn on_told_lapse(&mut self, now: Instant, id: &str, left_ms: u64) {
-        let is_listed = |known: &Known| known.lapse == Lapse::Listed;
+    /// Records that another VM reports an entry as possibly lapsed. This does not add the endpoint:
+    /// a VM without its entry has seen the removal, or has not seen the endpoint yet. The grace
+    /// period is not restarted, since the reporting VM may be lost before it ends.
+    fn on_reported_lapse(&mut self, now: Instant, id: &str, left_ms: u64) {
+        let is_listed = |entry: &Entry| entry.listing == ListingState::Listed;
         if self.entries.get(id).is_some_and(is_listed) {
             let left = Duration::from_millis(left_ms).min(LAPSE_GRACE);
-            self.lapse(id, Lapse::Reported(now + left));
+            self.mark_lapsed(id, ListingState::ReportedLapsed(now + left));
         }
     }
 
-    /// Marks an entry as one that may have lapsed; whoever is told of this directory hears of it.
-    fn lapse(&mut self, id: &str, lapse: Lapse) {
-        if let Some(known) = self.entries.get(id) {
-            let (record, newest_life) = (known.record.clone(), known.newest_life);
-            self.keep(record, newest_life, lapse);
+    /// Marks an entry as possibly lapsed. This is a change that other directories receive.
+    fn mark_lapsed(&mut self, id: &str, listing: ListingState) {
+        if let Some(entry) = self.entries.get(id) {
+            let (record, newest_incarnation) = (entry.record.clone(), entry.newest_incarnation);
+            self.upsert(record, newest_incarnation, listing);
         }
     }
 
-    /// Whether news are of a life that is older than the one that wrote the entry.
-    fn is_of_older_life(&self, id: &str, born_ms: Option<BornMs>) -> bool {
+    /// Whether an update is about an older incarnation than the one that wrote the entry.
+    fn is_older_incarnation(&self, id: &str, born_ms: Option<BornMs>) -> bool {
         let written_by = self.get(id).and_then(|record| record.born_ms);
-        compare_lives(born_ms, written_by) == LifeOrder::Older
+        compare_incarnations(born_ms, written_by) == IncarnationOrder::Older
     }
 
-    /// Takes an entry out and remembers that it went; answers whether there was one.
-    fn take_out(&mut self, id: &str) -> bool {
-        let Some((id, known)) = self.entries.remove_entry(id) else {
+    /// Removes an entry and leaves a tombstone; returns whether there was one.
+    fn evict(&mut self, id: &str) -> bool {
+        let Some((id, entry)) = self.entries.remove_entry(id) else {
             return false;
         };
-        self.by_number.remove(&known.number);
+        self.by_number.remove(&entry.number);
         self.newest += 1;
-        self.removals.note(self.newest, id, known.newest_life);
+        self.tombstones.insert(self.newest, id, entry.newest_incarnation);
         true
     }
 
-    fn remove(&mut self, now: Instant, id: &str) -> Removal {
-        let may_lapse = self.reach.may_lapse(now);
-        let Some(known) = self.entries.get(id) else {
+    fn remove_unless_lapsed(&mut self, now: Instant, id: &str) -> Removal {
+        let may_lapse = self.reachability.may_lapse(now);
+        let Some(entry) = self.entries.get(id) else {
             return Removal::Unknown;
         };
-        if may_lapse && known.record.standing == Standing::Ready {
-            self.lapse(id, Lapse::Own);
+        if may_lapse && entry.record.standing == Standing::Ready {
+            self.mark_lapsed(id, ListingState::MayHaveLapsed);
             return Removal::Lapsed;
         }
-        self.take_out(id);
+        self.evict(id);
         Removal::Gone
     }
 }
--- a/crates/sillbank_fleet/src/lib.rs
+++ b/crates/sillbank_fleet/src/lib.rs
@@ -1,16 +1,17 @@
-//! Which endpoints there are, by what the store lists, and how long a lost entry is believed.
+//! The directory of endpoints that the store lists, and how long an entry that is missing is kept.
 //!
-//! An endpoint is its id, never its address: an address may go to another endpoint. An entry that
-//! leaves the store while the store was out of reach may only have lapsed, so its endpoint stays
-//! usable until a short time after the store's return.
+//! An endpoint is identified by its id, never by its address, which may be reassigned to another
+//! endpoint. An entry that disappears while the store is unreachable may only have lapsed, so its
+//! endpoint stays usable for a short grace period after the store's return.
 //!
-//! An endpoint may start again under its id. News of the life before are left, and whoever keeps anything else
-//! of an endpoint is told which ones have started again ([`Directory::take_renewed`]).
+//! An endpoint may restart under the same id. Updates about an older incarnation are ignored, and
+//! other state kept for the endpoint can be dropped: [`Directory::take_restarted`] lists the
+//! endpoints that have restarted.
 //!
-//! A store may be restored from a copy that is older than what is known; what is known of endpoints that leave holds
-//! on then.
+//! The store may be restored from a copy that is older than what is known. Endpoints known to be
+//! leaving or gone then stay so for a while, whatever the copy lists.
 //!
-//! A directory numbers its changes, so that another VM is told only what it lacks.
+//! A directory numbers its changes, so that another VM only receives the ones it lacks.
 //!
 //! Pure: no sockets, no clock, no threads.
 
@@ -18,25 +19,25 @@
 
 mod difference;
 mod directory;
-mod lives;
-mod reach;
+mod incarnations;
+mod reachability;
 mod record;
 mod replication;
 mod restore;
 
-pub use difference::{ChangeNumber, Difference, MAX_REMOVALS};
+pub use difference::{ChangeNumber, Difference, MAX_TOMBSTONES};
 pub use directory::{Change, Directory, Removal};
-pub use lives::{LifeOrder, compare_lives};
-pub use reach::{LAPSE_GRACE, StoreTrouble};
+pub use incarnations::{IncarnationOrder, compare_incarnations};
+pub use reachability::{LAPSE_GRACE, StoreFailure};
 pub use record::{BornMs, EndpointRecord, Listing, Standing, UnreadableEntry};
 pub use replication::{Recency, Replication};
 pub use restore::RESTORE_HOLD;
 
-/// The few types most users need.
+/// The types that most users need.
 pub mod prelude {
     pub use crate::{
-        BornMs, Change, ChangeNumber, Difference, Directory, EndpointRecord, LAPSE_GRACE,
-        LifeOrder, Listing, RESTORE_HOLD, Recency, Removal, Replication, Standing, StoreTrouble,
-        UnreadableEntry, compare_lives,
+        BornMs, Change, ChangeNumber, Difference, Directory, EndpointRecord, IncarnationOrder,
+        LAPSE_GRACE, Listing, RESTORE_HOLD, Recency, Removal, Replication, Standing, StoreFailure,
+        UnreadableEntry, compare_incarnations,
     };
 }
--- a/crates/sillbank_fleet/src/record.rs
+++ b/crates/sillbank_fleet/src/record.rs
@@ -1,37 +1,37 @@
-//! What an endpoint says of itself in the store.
+//! Endpoint entries, as the store lists them.
 
 use serde::{Deserialize, Serialize};
 use sillbank_core::prelude::*;
 use std::net::SocketAddr;
 
-/// Unix millisecond at which a life of an endpoint began.
+/// Start of an incarnation of an endpoint, in milliseconds of Unix time.
 pub type BornMs = u64;
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// It does.
+    /// It accepts new work.
     Ready,
-    /// It ends what it has and takes no more.
+    /// It finishes its current requests and accepts no more.
     Leaving,
 }
 
 /// One endpoint's entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its id, which it may keep when it starts again.
+    /// Id of the endpoint, which may stay the same across restarts.
     pub id: EndpointId,
-    /// Start of the life that wrote the entry; `None` if it does not say.
+    /// Start of the incarnation that wrote the entry; `None` if the entry does not state it.
     pub born_ms: Option<BornMs>,
-    /// Service it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: ServiceId,
-    /// Where its requests go.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
     /// Data hall.
     pub hall: HallId,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub standing: Standing,
-    /// Requests at once.
+    /// Number of requests it handles concurrently.
     pub slots: u32,
     /// Accelerator kind, if it runs a model.
     pub accelerator: Option<AcceleratorKind>,
@@ -39,23 +39,23 @@
     pub layers: Option<LayerRange>,
 }
 
-/// An entry that cannot be read: another writer left it. It names no endpoint to use.
+/// An entry, written by some other program, that cannot be parsed. It names no endpoint to use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreadableEntry {
-    /// Whose entry it is; empty if not even that can be read.
+    /// Id of the endpoint; empty if not even that can be read.
     pub id: EndpointId,
-    /// Revision of the store that made the entry what it is, if it can be read.
+    /// Revision of the store that last changed the entry, if it can be read.
     pub version: Option<u64>,
-    /// What is wrong with it.
+    /// Why it cannot be parsed.
     pub reason: String,
 }
 
-/// All entries of the store at a moment.
+/// All entries of the store at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
     /// Entries that can be read.
     pub records: Vec<EndpointRecord>,
-    /// The others.
+    /// Entries that cannot be read.
     pub unreadable: Vec<UnreadableEntry>,
 }
 
--- a/crates/sillbank_fleet/src/replication.rs
+++ b/crates/sillbank_fleet/src/replication.rs
@@ -1,4 +1,4 @@
-//! Takes the differences that another VM tells of its directory.
+//! Applies the changes that another VM reports of its directory.
 
 use crate::difference::{ChangeNumber, Difference};
 use crate::directory::{Change, Directory};
@@ -6,37 +6,37 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// How a difference stands to what is known already.
+/// How a difference compares to what is known already.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Recency {
-    /// It holds as of the same revision of the store or a newer one.
+    /// It reflects the same revision of the store or a newer one.
     Newer,
-    /// It holds as of an older one: what is known goes before it.
+    /// It reflects an older revision: what is known takes precedence.
     Older,
 }
 
-/// What was taken of one source's directory so far.
+/// Progress of copying one source's directory.
 #[derive(Debug, Clone, Default)]
 pub struct Replication {
     seen: ChangeNumber,
-    /// Entries that were told since a list of all began, until its end.
+    /// Entries of the snapshot that is being received; `None` between snapshots.
     listed: Option<BTreeSet<EndpointId>>,
-    /// Whether older differences were left out: the list is wanted anew once it is newer.
+    /// Whether older differences were skipped: a new snapshot is needed once the source is newer.
     has_gap: bool,
 }
 
 impl Replication {
-    /// The newest change that was seen, for the next ask; 0 if all entries are to be told.
+    /// The newest change that was seen, to send with the next request; 0 requests all entries.
     pub fn seen(&self) -> ChangeNumber {
         self.seen
     }
 
-    /// Whether everything that the source had told is in the directory.
+    /// Whether the directory holds everything that the source has reported.
     pub fn is_complete(&self) -> bool {
         self.seen > 0 && self.listed.is_none() && !self.has_gap
     }
 
-    /// Takes a difference; answers the ids of the entries that went.
+    /// Applies a difference; returns the ids of the entries that were removed.
     pub fn on_difference(
         &mut self,
         directory: &mut Directory,
@@ -44,24 +44,24 @@
         difference: Difference,
         recency: Recency,
     ) -> Vec<EndpointId> {
-        let Difference { begins_anew, changes, goes_on, seen } = difference;
-        let is_news = begins_anew || goes_on || !changes.is_empty();
+        let Difference { starts_snapshot, changes, has_more, seen } = difference;
+        let has_content = starts_snapshot || has_more || !changes.is_empty();
         if recency == Recency::Older {
-            self.has_gap |= is_news;
+            self.has_gap |= has_content;
             self.listed = None;
             self.seen = seen;
             return Vec::new();
         }
-        if begins_anew {
+        if starts_snapshot {
             self.has_gap = false;
             self.listed = Some(BTreeSet::new());
         }
-        let mut gone = self.apply(directory, now, changes);
-        if !goes_on && let Some(listed) = self.listed.take() {
-            gone.extend(directory.retain_told(&listed));
+        let mut removed = self.apply(directory, now, changes);
+        if !has_more && let Some(listed) = self.listed.take() {
+            removed.extend(directory.retain_listed(&listed));
         }
         self.seen = if self.has_gap { 0 } else { seen };
-        gone
+        removed
     }
 
     fn apply(
@@ -70,14 +70,14 @@
         now: Instant,
         changes: Vec<Change>,
     ) -> Vec<EndpointId> {
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for change in changes {
             let (id, is_put) = match &change {
                 Change::Put(record) => (record.id.clone(), true),
                 Change::Removed { id, .. } => (id.clone(), false),
-                // It is still listed.
+                // An unreadable entry is still listed.
                 Change::Unreadable(entry) => (entry.id.clone(), true),
-                // Whoever has it goes on using it.
+                // A VM that has the entry keeps using the endpoint.
                 Change::Lapsed { id, .. } => (id.clone(), true),
             };
             if let Some(listed) = &mut self.listed {
@@ -86,10 +86,10 @@
                     false => listed.remove(&id),
                 };
             }
-            if directory.on_told_change(now, change) {
-                gone.push(id);
+            if directory.on_replicated_change(now, change) {
+                removed.push(id);
             }
         }
-        gone
+        removed
     }
 }
--- a/crates/sillbank_fleet/tests/directory.rs
+++ b/crates/sillbank_fleet/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What the directory believes of endpoints whose entries come and go.
+//! Changes of endpoint entries, outages of the store, and lapsed entries.
 
 use sillbank_fleet::prelude::*;
 use std::time::{Duration, Instant};
@@ -29,8 +29,9 @@
     (directory, now)
 }
 
+/// An entry removed while the store is reachable means that its endpoint is gone.
 #[test]
-fn a_removal_in_steady_times_ends_the_endpoint_at_once() {
+fn removal_without_outage_removes_endpoint_at_once() {
     let (mut directory, now) = directory(&["a", "b"]);
 
     let removal = directory.on_change(now, removed("a"));
@@ -40,11 +41,12 @@
     assert!(directory.usable("b").is_some());
 }
 
+/// An entry missing after an outage stays usable for the grace period and is then evicted.
 #[test]
-fn an_entry_that_lapsed_during_an_outage_stays_until_the_grace_is_over() {
+fn entry_lapsed_during_outage_is_kept_until_grace_ends() {
     let (mut directory, now) = directory(&["a"]);
-    directory.on_store_trouble(now, StoreTrouble::Away);
-    directory.on_store_back(now);
+    directory.on_store_failure(now, StoreFailure::Unreachable);
+    directory.on_store_recovered(now);
 
     let removals = directory.on_listing(now, vec![]);
     let early = directory.on_time(now + LAPSE_GRACE - Duration::from_millis(1));
@@ -59,29 +61,31 @@
     assert!(directory.usable("a").is_none());
 }
 
-/// Lapsed entries were evicted by the next periodic sweep, up to half a second after their grace.
+/// Guards against evicting lapsed entries only with the next periodic sweep, up to half a second
+/// after the end of their grace period.
 #[test]
-fn the_end_of_the_grace_is_known_once_the_store_is_back() {
+fn next_eviction_is_known_once_store_has_recovered() {
     let (mut directory, now) = directory(&["a", "b"]);
-    let without_lapse = directory.next_lapse_end();
-    directory.on_store_trouble(now, StoreTrouble::Away);
+    let without_lapse = directory.next_eviction();
+    directory.on_store_failure(now, StoreFailure::Unreachable);
     directory.on_change(now, removed("a"));
-    let while_away = directory.next_lapse_end();
+    let while_away = directory.next_eviction();
 
-    directory.on_store_back(now);
-    let while_back = directory.next_lapse_end();
+    directory.on_store_recovered(now);
+    let while_back = directory.next_eviction();
     directory.on_time(now + LAPSE_GRACE);
 
     assert_eq!((without_lapse, while_away), (None, None));
     assert_eq!(while_back, Some(now + LAPSE_GRACE));
-    assert_eq!(directory.next_lapse_end(), None);
+    assert_eq!(directory.next_eviction(), None);
 }
 
+/// A lapsed entry that is listed again before the grace period ends is not evicted.
 #[test]
-fn an_entry_that_comes_back_within_the_grace_stays() {
+fn entry_listed_again_within_grace_is_kept() {
     let (mut directory, now) = directory(&["a"]);
-    directory.on_store_trouble(now, StoreTrouble::Away);
-    directory.on_store_back(now);
+    directory.on_store_failure(now, StoreFailure::Unreachable);
+    directory.on_store_recovered(now);
     directory.on_listing(now, vec![]);
 
     directory.on_change(now, Change::Put(record("a", Standing::Ready)));
@@ -91,11 +95,13 @@
     assert!(directory.usable("a").is_some());
 }
 
+/// The entry of an endpoint that announced that it leaves is removed at once, even during an
+/// outage.
 #[test]
-fn an_endpoint_that_was_leaving_does_not_lapse() {
+fn entry_of_leaving_endpoint_does_not_lapse() {
     let (mut directory, now) = directory(&["a"]);
     directory.on_change(now, Change::Put(record("a", Standing::Leaving)));
-    directory.on_store_trouble(now, StoreTrouble::Away);
+    directory.on_store_failure(now, StoreFailure::Unreachable);
 
     let removal = directory.on_change(now, removed("a"));
 
@@ -103,8 +109,9 @@
     assert!(directory.get("a").is_none());
 }
 
+/// A leaving endpoint gets no new work, but its entry stays.
 #[test]
-fn an_endpoint_that_leaves_takes_no_new_work() {
+fn leaving_endpoint_is_listed_but_not_usable() {
     let (mut directory, now) = directory(&["a"]);
 
     directory.on_change(now, Change::Put(record("a", Standing::Leaving)));
@@ -113,11 +120,12 @@
     assert!(directory.get("a").is_some());
 }
 
+/// Once the grace period after an outage is over, a removal means again that the endpoint is gone.
 #[test]
-fn a_removal_after_the_grace_ends_the_endpoint_at_once() {
+fn removal_after_grace_removes_endpoint_at_once() {
     let (mut directory, now) = directory(&["a"]);
-    directory.on_store_trouble(now, StoreTrouble::Away);
-    directory.on_store_back(now);
+    directory.on_store_failure(now, StoreFailure::Unreachable);
+    directory.on_store_recovered(now);
     directory.on_time(now + LAPSE_GRACE);
 
     let removal = directory.on_change(now + LAPSE_GRACE, removed("a"));
@@ -125,11 +133,12 @@
     assert_eq!(removal, Some(Removal::Gone));
 }
 
+/// A VM that the store rate-limits sees no outage: endpoints still write their entries.
 #[test]
-fn a_vm_that_the_store_turns_away_takes_a_missing_entry_for_gone() {
+fn rate_limited_vm_treats_missing_entry_as_gone() {
     let (mut directory, now) = directory(&["a", "b"]);
-    directory.on_store_trouble(now, StoreTrouble::TurnsAway);
-    directory.on_store_back(now);
+    directory.on_store_failure(now, StoreFailure::RateLimited);
+    directory.on_store_recovered(now);
 
     let removals = directory.on_listing(now, vec![record("b", Standing::Ready)]);
 
@@ -137,38 +146,41 @@
     assert!(directory.usable("a").is_none());
 }
 
+/// A rate-limited call after a failed one leaves the outage in effect.
 #[test]
-fn being_turned_away_does_not_end_an_outage() {
+fn rate_limiting_does_not_end_an_outage() {
     let (mut directory, now) = directory(&["a"]);
-    directory.on_store_trouble(now, StoreTrouble::Away);
-    directory.on_store_trouble(now, StoreTrouble::TurnsAway);
-    directory.on_store_back(now);
+    directory.on_store_failure(now, StoreFailure::Unreachable);
+    directory.on_store_failure(now, StoreFailure::RateLimited);
+    directory.on_store_recovered(now);
 
     let removals = directory.on_listing(now, vec![]);
 
     assert_eq!(removals, vec![("a".to_owned(), Removal::Lapsed)]);
 }
 
-/// Its leader tells it all the while, so it makes no call of its own that would show the store's return.
+/// A VM that is updated by its leader makes no call of its own that would show the store's return,
+/// so the leader's report must end the outage.
 #[test]
-fn an_outage_that_a_leader_saw_the_end_of_excuses_no_later_removal() {
+fn outage_whose_end_a_leader_reported_does_not_excuse_later_removal() {
     let (mut directory, now) = directory(&["a"]);
-    directory.on_store_trouble(now, StoreTrouble::Away);
-    directory.on_store_seen(now + Duration::from_secs(1));
+    directory.on_store_failure(now, StoreFailure::Unreachable);
+    directory.on_store_reachable(now + Duration::from_secs(1));
     let later = now + Duration::from_secs(17);
     directory.on_time(later);
-    directory.on_store_back(later);
+    directory.on_store_recovered(later);
 
     let removal = directory.on_change(later, removed("a"));
 
     assert_eq!(removal, Some(Removal::Gone));
 }
 
+/// A report that the store answered a call sent before the last failure does not end the outage.
 #[test]
-fn an_answer_to_a_call_before_the_outage_does_not_end_it() {
+fn answer_to_call_sent_before_outage_does_not_end_it() {
     let (mut directory, now) = directory(&["a"]);
-    directory.on_store_trouble(now + Duration::from_secs(1), StoreTrouble::Away);
-    directory.on_store_seen(now);
+    directory.on_store_failure(now + Duration::from_secs(1), StoreFailure::Unreachable);
+    directory.on_store_reachable(now);
     let later = now + Duration::from_secs(17);
 
     let removal = directory.on_change(later, removed("a"));
@@ -176,41 +188,44 @@
     assert_eq!(removal, Some(Removal::Lapsed));
 }
 
-/// A watch that went silent failed seconds after the store was back, and removals counted as lapsed for as long again.
+/// Guards against removals counting as lapsed after a silent watch fails seconds after the store's
+/// return.
 #[test]
-fn a_call_that_was_sent_before_an_answered_one_is_no_new_outage_when_it_fails() {
+fn failure_of_call_sent_before_answered_one_is_not_an_outage() {
     let (mut directory, now) = directory(&["a"]);
     let failed = now + Duration::from_secs(3);
-    directory.on_store_seen(now + Duration::from_secs(1));
+    directory.on_store_reachable(now + Duration::from_secs(1));
 
-    directory.on_call_failed(now, failed, StoreTrouble::Away);
+    directory.on_call_failed(now, failed, StoreFailure::Unreachable);
     let removal = directory.on_change(failed, removed("a"));
 
     assert_eq!(removal, Some(Removal::Gone));
 }
 
-/// Only answers that confirm a configuration counted, so a call that hung since before the store's return began a grace anew.
+/// Guards against counting only answers that confirm a configuration: the failure of a call that
+/// hung since before the store's return then starts a new grace period.
 #[test]
-fn a_hung_call_is_no_outage_once_a_later_call_was_answered() {
+fn hung_call_is_not_an_outage_once_later_call_was_answered() {
     let (mut directory, now) = directory(&["a"]);
     let failed = now + Duration::from_secs(3);
     directory.on_call_answered(now + Duration::from_secs(1));
 
-    let is_trouble = directory.on_call_failed(now, failed, StoreTrouble::Away);
-    let is_newer_trouble = directory.on_call_failed(failed, failed, StoreTrouble::Away);
+    let is_trouble = directory.on_call_failed(now, failed, StoreFailure::Unreachable);
+    let is_newer_trouble = directory.on_call_failed(failed, failed, StoreFailure::Unreachable);
 
     assert!(!is_trouble);
     assert!(is_newer_trouble);
 }
 
+/// The outage starts at the failure, so a later answer to a call sent before it does not end it.
 #[test]
-fn a_call_that_fails_after_the_last_answered_one_was_sent_is_an_outage_from_when_it_fails() {
+fn failure_of_call_sent_after_last_answered_one_starts_outage_when_it_fails() {
     let (mut directory, now) = directory(&["a"]);
     let failed = now + Duration::from_secs(3);
-    directory.on_store_seen(now);
+    directory.on_store_reachable(now);
 
-    directory.on_call_failed(now + Duration::from_secs(1), failed, StoreTrouble::Away);
-    directory.on_store_seen(now + Duration::from_secs(2));
+    directory.on_call_failed(now + Duration::from_secs(1), failed, StoreFailure::Unreachable);
+    directory.on_store_reachable(now + Duration::from_secs(2));
     let removal = directory.on_change(failed + LAPSE_GRACE, removed("a"));
 
     assert_eq!(removal, Some(Removal::Lapsed));
@@ -220,8 +235,10 @@
     UnreadableEntry { id: id.to_owned(), version: Some(7), reason: "no address".to_owned() }
 }
 
+/// An endpoint whose entry becomes unreadable is treated as leaving until the entry can be read
+/// again.
 #[test]
-fn an_endpoint_whose_entry_cannot_be_read_takes_no_new_work_until_it_can_be() {
+fn endpoint_with_unreadable_entry_is_not_usable_until_entry_is_readable() {
     let (mut directory, now) = directory(&["a", "b"]);
 
     directory.on_change(now, Change::Unreadable(unreadable("a")));
@@ -234,8 +251,9 @@
     assert!(directory.usable("a").is_some());
 }
 
+/// In a listing, an unreadable entry keeps a known endpoint and does not introduce an unknown one.
 #[test]
-fn an_entry_that_cannot_be_read_is_listed_and_names_nobody_new() {
+fn unreadable_entry_counts_as_listed_but_adds_no_endpoint() {
     let (mut directory, now) = directory(&["a", "b"]);
     let listing = Listing {
         records: vec![record("b", Standing::Ready)],
--- a/crates/sillbank_fleet/tests/lives.rs
+++ b/crates/sillbank_fleet/tests/lives.rs
@@ -1,4 +1,4 @@
-//! An endpoint that starts again under its id: what is known is of its newest life.
+//! Endpoints that restart under the same id: the directory describes the newest incarnation.
 
 use arbitrary::Unstructured;
 use sillbank_core::prelude::*;
@@ -36,8 +36,11 @@
     directory
 }
 
-/// One piece of news of the endpoint, by any of the ways on which they come.
-fn take_news(directory: &mut Directory, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+/// Applies one update about the endpoint, from any of the sources of updates.
+fn apply_random_update(
+    directory: &mut Directory,
+    u: &mut Unstructured<'_>,
+) -> arbitrary::Result<()> {
     let now = Instant::now();
     let of_first = [
         Change::Put(record(FIRST, Standing::Ready)),
@@ -46,71 +49,77 @@
     ];
     match u.int_in_range(0..=4)? {
         0 => drop(directory.on_change(now, u.choose(&of_first)?.clone())),
-        1 => drop(directory.on_told_change(Instant::now(), u.choose(&of_first)?.clone())),
-        2 => directory.on_life(ID, *u.choose(&[FIRST, SECOND])?),
+        1 => drop(directory.on_replicated_change(Instant::now(), u.choose(&of_first)?.clone())),
+        2 => directory.on_incarnation(ID, *u.choose(&[FIRST, SECOND])?),
         3 => drop(directory.on_listing(now, vec![record(FIRST, Standing::Ready)])),
         _ => drop(
-            directory.on_told_change(Instant::now(), Change::Put(record(SECOND, Standing::Ready))),
+            directory
+                .on_replicated_change(Instant::now(), Change::Put(record(SECOND, Standing::Ready))),
         ),
     }
     Ok(())
 }
 
+/// Once the newer incarnation is listed, no update about the older one changes the entry.
 #[test]
-fn whatever_order_news_come_in_the_newest_life_is_believed() {
+fn newest_incarnation_prevails_in_any_order_of_updates() {
     for_fixed_seeds(500, 128, |u| {
         let mut directory = Directory::default();
         for _ in 0..u.int_in_range(0..=8)? {
-            take_news(&mut directory, u)?;
+            apply_random_update(&mut directory, u)?;
         }
         directory.on_change(Instant::now(), Change::Put(record(SECOND, Standing::Ready)));
         for _ in 0..u.int_in_range(0..=8)? {
-            take_news(&mut directory, u)?;
+            apply_random_update(&mut directory, u)?;
         }
 
         assert_eq!(directory.usable(ID), Some(&record(SECOND, Standing::Ready)));
-        assert_eq!(directory.newest_life(ID), Some(SECOND));
+        assert_eq!(directory.newest_incarnation(ID), Some(SECOND));
         Ok(())
     });
 }
 
+/// A restart that is seen both in the endpoint's own report and in its entry is reported once.
 #[test]
-fn an_endpoint_that_starts_again_is_told_of_once() {
+fn restart_is_reported_once() {
     let mut directory = directory_of(record(FIRST, Standing::Ready));
 
-    directory.on_life(ID, SECOND);
+    directory.on_incarnation(ID, SECOND);
     directory.on_change(Instant::now(), Change::Put(record(SECOND, Standing::Ready)));
 
-    assert_eq!(directory.take_renewed(), vec![ID.to_owned()]);
-    assert!(directory.take_renewed().is_empty());
+    assert_eq!(directory.take_restarted(), vec![ID.to_owned()]);
+    assert!(directory.take_restarted().is_empty());
 }
 
+/// A restart is noticed although the entry of the older incarnation was removed in between.
 #[test]
-fn an_endpoint_that_starts_again_after_its_entry_went_is_told_of() {
+fn restart_after_removal_is_reported() {
     let mut directory = directory_of(record(FIRST, Standing::Ready));
     directory.on_change(Instant::now(), removed(Some(FIRST)));
 
     directory.on_change(Instant::now(), Change::Put(record(SECOND, Standing::Ready)));
 
-    assert_eq!(directory.take_renewed(), vec![ID.to_owned()]);
+    assert_eq!(directory.take_restarted(), vec![ID.to_owned()]);
 }
 
+/// The layers in an older incarnation's entry do not apply to a newer one that has only reported
+/// itself.
 #[test]
-fn a_newer_life_that_only_reported_ends_what_the_entry_says_of_layers() {
+fn newer_incarnation_without_entry_drops_layers_of_old_entry() {
     let mut directory = directory_of(record(FIRST, Standing::Ready));
 
-    directory.on_life(ID, SECOND);
+    directory.on_incarnation(ID, SECOND);
     directory.on_change(Instant::now(), Change::Put(record(FIRST, Standing::Leaving)));
 
     let known = directory.get(ID).expect("it is listed");
     assert_eq!((known.layers, known.standing), (None, Standing::Leaving));
 }
 
-/// The store has no entry of the newer life, so nobody may be sent there.
+/// The store then has no entry of the newer incarnation, so no requests may be sent to it.
 #[test]
-fn an_entry_that_goes_before_the_newer_life_wrote_one_ends_the_endpoint() {
+fn removal_before_newer_incarnation_wrote_entry_removes_endpoint() {
     let mut directory = directory_of(record(FIRST, Standing::Ready));
-    directory.on_life(ID, SECOND);
+    directory.on_incarnation(ID, SECOND);
 
     let removal = directory.on_change(Instant::now(), removed(Some(FIRST)));
 
@@ -118,9 +127,10 @@
     assert!(directory.get(ID).is_none());
 }
 
-/// A copy of the store listed the older life of an endpoint; when that entry was removed, the newer life was never evicted.
+/// Guards against never evicting a newer incarnation: a copy of the store listed the older one, and
+/// that entry was then removed.
 #[test]
-fn removing_the_entry_of_an_older_life_lapses_the_endpoint() {
+fn removal_of_older_incarnations_entry_lapses_endpoint() {
     let now = Instant::now();
     let mut directory = directory_of(record(SECOND, Standing::Ready));
     directory.on_restored(now);
@@ -135,8 +145,10 @@
     assert_eq!(late, vec![ID.to_owned()]);
 }
 
+/// An endpoint that lapsed because its older incarnation's entry was removed is kept once it is
+/// listed.
 #[test]
-fn a_newer_life_that_is_listed_after_the_older_one_was_removed_stays() {
+fn newer_incarnation_listed_after_removal_of_older_one_is_kept() {
     let now = Instant::now();
     let mut directory = directory_of(record(SECOND, Standing::Ready));
 
@@ -148,8 +160,9 @@
     assert!(directory.usable(ID).is_some());
 }
 
+/// Without a stated incarnation, the latest update applies and no restart is reported.
 #[test]
-fn entries_that_name_no_life_are_taken_as_they_come() {
+fn entries_without_incarnation_are_applied_in_order() {
     let unnamed = |standing| EndpointRecord { born_ms: None, ..record(FIRST, standing) };
     let mut directory = directory_of(unnamed(Standing::Ready));
 
@@ -158,12 +171,13 @@
     directory.on_change(Instant::now(), Change::Put(unnamed(Standing::Ready)));
 
     assert_eq!(directory.usable(ID), Some(&unnamed(Standing::Ready)));
-    assert!(directory.take_renewed().is_empty());
+    assert!(directory.take_restarted().is_empty());
     assert_eq!(directory.on_change(Instant::now(), removed(None)), Some(Removal::Gone));
 }
 
+/// A directory that is replicated by differences drops layers when its source learns of a restart.
 #[test]
-fn a_copy_that_is_told_in_differences_knows_the_same_life() {
+fn replicated_directory_follows_incarnations() {
     let mut source = directory_of(record(FIRST, Standing::Ready));
     let (mut replication, mut copy) = (Replication::default(), Directory::default());
     replication.on_difference(
@@ -173,7 +187,7 @@
         Recency::Newer,
     );
 
-    source.on_life(ID, SECOND);
+    source.on_incarnation(ID, SECOND);
     let piece = source.difference(Instant::now(), replication.seen(), 10);
     replication.on_difference(&mut copy, Instant::now(), piece, Recency::Newer);
 
--- a/crates/sillbank_fleet/tests/replication.rs
+++ b/crates/sillbank_fleet/tests/replication.rs
@@ -1,7 +1,7 @@
-//! A directory that is told in differences becomes what its source is.
+//! Replication: a directory that applies the differences of a source converges to it.
 
 use sillbank_fleet::prelude::*;
-use sillbank_fleet::{MAX_REMOVALS, Replication};
+use sillbank_fleet::{MAX_TOMBSTONES, Replication};
 use sillbank_testing::for_fixed_seeds;
 use std::time::{Duration, Instant};
 
@@ -34,43 +34,44 @@
     directory.iter().cloned().collect()
 }
 
-/// Asks until nothing is left; answers the ids that went.
+/// Requests differences until there are no more; returns the removed ids.
 fn catch_up(
     replication: &mut Replication,
     copy: &mut Directory,
     source: &Directory,
-    most: usize,
+    limit: usize,
 ) -> Vec<String> {
-    catch_up_at(Instant::now(), replication, copy, source, most)
+    catch_up_at(Instant::now(), replication, copy, source, limit)
 }
 
-/// As [`catch_up`], all at one moment.
+/// Like [`catch_up`], with a fixed time.
 fn catch_up_at(
     now: Instant,
     replication: &mut Replication,
     copy: &mut Directory,
     source: &Directory,
-    most: usize,
+    limit: usize,
 ) -> Vec<String> {
     let mut gone = Vec::new();
     loop {
-        let difference = source.difference(now, replication.seen(), most);
-        let goes_on = difference.goes_on;
+        let difference = source.difference(now, replication.seen(), limit);
+        let has_more = difference.has_more;
         gone.extend(replication.on_difference(copy, now, difference, Recency::Newer));
-        if !goes_on {
+        if !has_more {
             return gone;
         }
     }
 }
 
+/// A directory that has seen nothing receives all entries, a limited number per difference.
 #[test]
-fn a_newcomer_is_told_everything_in_pieces() {
+fn new_replica_receives_snapshot_in_pages() {
     let source = source(&["a", "b", "c", "d", "e"]);
     let (mut replication, mut copy) = (Replication::default(), Directory::default());
 
     let first = source.difference(Instant::now(), replication.seen(), 2);
 
-    assert_eq!((first.changes.len(), first.goes_on, first.begins_anew), (2, true, true));
+    assert_eq!((first.changes.len(), first.has_more, first.starts_snapshot), (2, true, true));
 
     catch_up(&mut replication, &mut copy, &source, 2);
 
@@ -78,19 +79,21 @@
     assert!(replication.is_complete());
 }
 
+/// A directory that has seen the newest change receives no changes and no snapshot.
 #[test]
-fn one_that_is_up_to_date_is_told_nothing() {
+fn up_to_date_replica_receives_empty_difference() {
     let source = source(&["a", "b"]);
     let (mut replication, mut copy) = (Replication::default(), Directory::default());
     catch_up(&mut replication, &mut copy, &source, 10);
 
     let difference = source.difference(Instant::now(), replication.seen(), 10);
 
-    assert!(difference.changes.is_empty() && !difference.goes_on && !difference.begins_anew);
+    assert!(difference.changes.is_empty() && !difference.has_more && !difference.starts_snapshot);
 }
 
+/// An entry that is written again with the same content gets no new change number.
 #[test]
-fn an_entry_that_is_written_again_as_it_was_is_no_change() {
+fn rewriting_identical_entry_is_not_a_change() {
     let mut source = source(&["a"]);
     let before = source.newest_change();
 
@@ -99,8 +102,9 @@
     assert_eq!(source.newest_change(), before);
 }
 
+/// A removed entry is removed from the replica, and is back once the source lists it again.
 #[test]
-fn a_removal_is_told_and_so_is_a_return() {
+fn removal_and_return_are_replicated() {
     let now = Instant::now();
     let mut source = source(&["a", "b"]);
     let (mut replication, mut copy) = (Replication::default(), Directory::default());
@@ -118,35 +122,37 @@
     assert_eq!(records(&copy), records(&source));
 }
 
-/// A source that still uses an entry which is not listed any more.
+/// A source that keeps an entry which is no longer listed, as it may have lapsed.
 fn source_with_lapsed(id: &str, now: Instant) -> Directory {
     let mut source = source(&["a", "b"]);
-    source.on_store_trouble(now, StoreTrouble::Away);
+    source.on_store_failure(now, StoreFailure::Unreachable);
     assert_eq!(source.on_change(now, removed(id)), Some(Removal::Lapsed));
     source
 }
 
-/// A VM that reads the store itself knew that an endpoint had left, and took it up again when another VM told of an entry that
-/// had lapsed there; nobody told it later that it was gone.
+/// Guards against re-adding an endpoint that is known to be gone because another VM reports its
+/// entry as lapsed; that VM may never report its removal later.
 #[test]
-fn a_lapsed_entry_that_is_told_does_not_bring_an_endpoint_back() {
+fn reported_lapse_does_not_bring_an_endpoint_back() {
     let now = Instant::now();
-    let teller = source_with_lapsed("a", now);
+    let reporter = source_with_lapsed("a", now);
     let (mut replication, mut own) = (Replication::default(), source(&["a", "b"]));
     own.on_change(now, removed("a"));
 
-    catch_up(&mut replication, &mut own, &teller, 10);
+    catch_up(&mut replication, &mut own, &reporter, 10);
 
     assert!(own.get("a").is_none());
     assert!(own.usable("b").is_some());
 }
 
+/// An entry that was reported as lapsed is evicted when its grace period ends, even if the
+/// reporting VM falls silent.
 #[test]
-fn an_entry_that_is_told_as_lapsed_goes_by_itself_where_nobody_tells_any_more() {
+fn reported_lapse_is_evicted_without_further_reports() {
     let now = Instant::now();
-    let teller = source_with_lapsed("a", now);
+    let reporter = source_with_lapsed("a", now);
     let (mut replication, mut own) = (Replication::default(), source(&["a", "b"]));
-    catch_up_at(now, &mut replication, &mut own, &teller, 10);
+    catch_up_at(now, &mut replication, &mut own, &reporter, 10);
 
     own.on_time(now);
     own.on_time(now + LAPSE_GRACE - Duration::from_millis(1));
@@ -157,18 +163,19 @@
     assert_eq!(gone, vec!["a".to_owned()]);
 }
 
-/// A VM that heard of a lapsed entry late in the grace began a whole new one, and kept the endpoint when the reporting VM was killed.
+/// Guards against a VM that hears of a lapsed entry late starting a new grace period, and keeping
+/// the endpoint when the reporting VM is killed.
 #[test]
-fn a_lapsed_entry_that_is_reported_is_evicted_when_its_first_grace_ends() {
+fn reported_lapse_does_not_restart_grace() {
     let returned = Instant::now();
     let told = returned + LAPSE_GRACE - Duration::from_millis(500);
     let passed_on = told + Duration::from_millis(400);
-    let mut teller = source(&["a", "b"]);
-    teller.on_restored(returned);
-    assert_eq!(teller.on_change(told, removed("a")), Some(Removal::Lapsed));
+    let mut reporter = source(&["a", "b"]);
+    reporter.on_restored(returned);
+    assert_eq!(reporter.on_change(told, removed("a")), Some(Removal::Lapsed));
     let (mut second, mut third) = (source(&["a", "b"]), source(&["a", "b"]));
 
-    catch_up_at(told, &mut Replication::default(), &mut second, &teller, 10);
+    catch_up_at(told, &mut Replication::default(), &mut second, &reporter, 10);
     catch_up_at(passed_on, &mut Replication::default(), &mut third, &second, 10);
 
     for own in [&mut second, &mut third] {
@@ -179,15 +186,16 @@
     }
 }
 
+/// An entry that was reported as lapsed is kept once the source lists it again.
 #[test]
-fn an_entry_that_was_told_as_lapsed_and_is_listed_again_stays() {
+fn reported_lapse_listed_again_is_kept() {
     let now = Instant::now();
-    let mut teller = source_with_lapsed("a", now);
+    let mut reporter = source_with_lapsed("a", now);
     let (mut replication, mut own) = (Replication::default(), source(&["a", "b"]));
-    catch_up_at(now, &mut replication, &mut own, &teller, 10);
+    catch_up_at(now, &mut replication, &mut own, &reporter, 10);
 
-    teller.on_change(now, Change::Put(record("a", 1)));
-    catch_up(&mut replication, &mut own, &teller, 10);
+    reporter.on_change(now, Change::Put(record("a", 1)));
+    catch_up(&mut replication, &mut own, &reporter, 10);
     own.on_time(now);
     let gone = own.on_time(now + LAPSE_GRACE);
 
@@ -195,10 +203,12 @@
     assert!(own.usable("a").is_some());
 }
 
+/// The source has decided what lapsed and what is gone, so entries missing in its snapshot are
+/// removed even if this VM cannot reach the store.
 #[test]
-fn a_new_source_ends_what_it_does_not_list_also_during_an_outage() {
+fn snapshot_of_new_source_removes_unlisted_entries_during_outage() {
     let (mut replication, mut copy) = (Replication::default(), source(&["a", "b"]));
-    copy.on_store_trouble(Instant::now(), StoreTrouble::Away);
+    copy.on_store_failure(Instant::now(), StoreFailure::Unreachable);
 
     let gone = catch_up(&mut replication, &mut copy, &source(&["b"]), 1);
 
@@ -207,8 +217,10 @@
     assert!(copy.usable("b").is_some());
 }
 
+/// An entry that is removed at the source between two pages of a snapshot does not stay in the
+/// replica.
 #[test]
-fn an_entry_that_goes_while_the_list_is_told_is_gone_at_its_end() {
+fn entry_removed_between_pages_is_gone_after_snapshot() {
     let mut source = source(&["a", "b", "c"]);
     let (mut replication, mut copy) = (Replication::default(), Directory::default());
     replication.on_difference(
@@ -224,39 +236,42 @@
     assert_eq!(records(&copy), records(&source));
 }
 
+/// A replica that has missed more removals than there are tombstones starts over with a snapshot.
 #[test]
-fn one_that_missed_more_removals_than_are_remembered_is_told_everything() {
+fn replica_that_missed_dropped_tombstones_receives_snapshot() {
     let now = Instant::now();
     let mut source = source(&["a", "b"]);
     let (mut replication, mut copy) = (Replication::default(), Directory::default());
     catch_up(&mut replication, &mut copy, &source, 10);
     source.on_change(now, removed("a"));
-    for number in 0..=MAX_REMOVALS {
+    for number in 0..=MAX_TOMBSTONES {
         source.on_change(now, Change::Put(record(&format!("e{number}"), 1)));
         source.on_change(now, removed(&format!("e{number}")));
     }
 
     let difference = source.difference(Instant::now(), replication.seen(), 10);
-    assert!(difference.begins_anew);
+    assert!(difference.starts_snapshot);
     catch_up(&mut replication, &mut copy, &source, 10);
 
     assert_eq!(records(&copy), records(&source));
 }
 
+/// A change number that the source has not reached starts a snapshot.
 #[test]
-fn one_that_claims_to_have_seen_what_there_was_not_is_told_everything() {
+fn replica_ahead_of_source_receives_snapshot() {
     let source = source(&["a", "b"]);
 
     for seen in [source.newest_change() + 1, u64::MAX] {
         let difference = source.difference(Instant::now(), seen, 10);
 
-        assert!(difference.begins_anew);
+        assert!(difference.starts_snapshot);
         assert_eq!(difference.changes.len(), 2);
     }
 }
 
+/// A difference of a source that is behind is not applied; a snapshot fills the gap later.
 #[test]
-fn what_is_older_is_left_out_and_asked_for_again_later() {
+fn older_difference_is_skipped_and_requested_again() {
     let now = Instant::now();
     let mut source = source(&["a", "b"]);
     let (mut replication, mut copy) = (Replication::default(), Directory::default());
@@ -276,15 +291,17 @@
     assert!(replication.is_complete());
 }
 
+/// After any sequence of changes, skipped differences and reconnects, the replica equals its
+/// source.
 #[test]
-fn a_copy_becomes_its_source_whatever_came_between() {
+fn replica_converges_to_source() {
     for_fixed_seeds(300, 256, |u| {
         let now = Instant::now();
         let mut source = Directory::default();
         let (mut replication, mut copy) = (Replication::default(), Directory::default());
         for _ in 0..u.int_in_range(1..=40)? {
             let id = format!("e{}", u.int_in_range(0..=6)?);
-            let most = u.int_in_range(1..=4)?;
+            let limit = u.int_in_range(1..=4)?;
             match u.int_in_range(0..=7)? {
                 0..=2 => {
                     source.on_change(now, Change::Put(record(&id, u.int_in_range(1..=3)?)));
@@ -293,14 +310,14 @@
                     source.on_change(now, removed(&id));
                 }
                 5 => {
-                    let piece = source.difference(Instant::now(), replication.seen(), most);
+                    let piece = source.difference(Instant::now(), replication.seen(), limit);
                     replication.on_difference(&mut copy, Instant::now(), piece, Recency::Newer);
                 }
                 6 => {
-                    let piece = source.difference(Instant::now(), replication.seen(), most);
+                    let piece = source.difference(Instant::now(), replication.seen(), limit);
                     replication.on_difference(&mut copy, Instant::now(), piece, Recency::Older);
                 }
-                // The source is asked over a new connection.
+                // A new connection to the source starts over.
                 _ => replication = Replication::default(),
             }
         }
--- a/crates/sillbank_fleet/tests/restore.rs
+++ b/crates/sillbank_fleet/tests/restore.rs
@@ -1,4 +1,4 @@
-//! What a directory believes of a store that was restored from a copy.
+//! A store that is restored from a copy must not bring back endpoints that leave or have left.
 
 use arbitrary::Unstructured;
 use sillbank_fleet::prelude::*;
@@ -42,8 +42,9 @@
     (directory, now)
 }
 
+/// An endpoint known to be leaving gets no work when the restored store lists it as ready.
 #[test]
-fn an_endpoint_that_leaves_stays_leaving_when_the_copy_lists_it_as_ready() {
+fn leaving_endpoint_listed_as_ready_by_copy_stays_leaving() {
     let (mut directory, now) = directory(&["a", "b"]);
     directory.on_change(now, Change::Put(leaving("a")));
 
@@ -55,8 +56,9 @@
     assert_eq!(directory.take_held_back(), vec!["a".to_owned()]);
 }
 
+/// An endpoint known to be gone is not added again by the restored store.
 #[test]
-fn an_endpoint_that_has_left_is_not_brought_back_by_the_copy() {
+fn removed_endpoint_listed_by_copy_stays_removed() {
     let (mut directory, now) = directory(&["a", "b"]);
     directory.on_change(now, removed("a"));
 
@@ -66,8 +68,9 @@
     assert!(directory.get("a").is_none());
 }
 
+/// Entries replicated from a leader are held back like those of the store.
 #[test]
-fn a_leader_that_knows_less_does_not_bring_an_endpoint_back_either() {
+fn replication_from_leader_that_knows_less_does_not_bring_endpoint_back() {
     let (mut own, now) = directory(&["a"]);
     own.on_change(now, Change::Put(leaving("a")));
     let (leader, _) = directory(&["a"]);
@@ -84,8 +87,9 @@
     assert!(own.usable("a").is_none());
 }
 
+/// When the hold ends, a full read is required, and what it lists is accepted.
 #[test]
-fn what_is_still_listed_after_the_hold_is_believed() {
+fn entry_still_listed_after_hold_is_accepted() {
     let (mut directory, now) = directory(&["a"]);
     directory.on_change(now, removed("a"));
     directory.on_restored(now);
@@ -103,8 +107,9 @@
     assert!(directory.usable("a").is_some());
 }
 
+/// An entry that was held back and then removed does not reappear when the hold ends.
 #[test]
-fn an_entry_that_went_again_during_the_hold_is_not_believed_after_it() {
+fn entry_removed_during_hold_stays_removed() {
     let (mut directory, now) = directory(&["a"]);
     directory.on_change(now, Change::Put(leaving("a")));
     directory.on_restored(now);
@@ -116,8 +121,9 @@
     assert!(directory.get("a").is_none());
 }
 
+/// The end of the hold requires a full read only if entries were held back.
 #[test]
-fn nothing_is_read_again_where_nothing_was_held_back() {
+fn no_reread_without_held_back_entries() {
     let (mut directory, now) = directory(&["a"]);
     directory.on_restored(now);
     directory.on_listing(now, vec![ready("a")]);
@@ -127,8 +133,9 @@
     assert_eq!(directory.rereads(), 0);
 }
 
+/// An endpoint that writes its leaving entry again during the hold stays leaving.
 #[test]
-fn an_endpoint_that_writes_again_that_it_leaves_stays_leaving_after_the_hold() {
+fn endpoint_that_announces_leaving_again_stays_leaving_after_hold() {
     let (mut directory, now) = directory(&["a"]);
     directory.on_change(now, Change::Put(leaving("a")));
     directory.on_restored(now);
@@ -141,8 +148,9 @@
     assert!(directory.get("a").is_some());
 }
 
+/// An entry of a newer incarnation is not held back.
 #[test]
-fn a_newer_life_is_believed_at_once() {
+fn newer_incarnation_is_accepted_during_hold() {
     let (mut directory, now) = directory(&["a"]);
     directory.on_change(now, Change::Put(EndpointRecord { born_ms: Some(5), ..leaving("a") }));
     directory.on_restored(now);
@@ -152,8 +160,9 @@
     assert!(directory.usable("a").is_some());
 }
 
+/// An endpoint that the copy does not list may write its entry again within the grace period.
 #[test]
-fn an_endpoint_that_the_copy_lacks_stays_usable_until_the_grace_is_over() {
+fn endpoint_missing_in_copy_stays_usable_until_grace_ends() {
     let (mut directory, now) = directory(&["a", "b"]);
 
     directory.on_restored(now);
@@ -167,8 +176,9 @@
     assert_eq!(gone, vec!["b".to_owned()]);
 }
 
+/// An endpoint that started leaving between two restores stays leaving after the second one.
 #[test]
-fn a_second_restore_holds_back_what_was_learnt_after_the_first() {
+fn second_restore_holds_back_changes_since_the_first() {
     let (mut directory, now) = directory(&["a", "b"]);
     directory.on_restored(now);
     directory.on_listing(now, vec![ready("a"), ready("b")]);
@@ -182,10 +192,10 @@
     assert!(directory.usable("a").is_none());
 }
 
-/// Endpoints leave, are removed and the store is restored again and again: whatever its copies and other VMs list, none that was
-/// known to leave takes work before the hold is over.
+/// Whatever restored copies and other VMs list, an endpoint known to leave gets no work before the
+/// hold ends.
 #[test]
-fn no_series_of_restores_brings_an_endpoint_back_within_the_hold() {
+fn no_sequence_of_restores_brings_endpoint_back_within_hold() {
     for_fixed_seeds(2_000, 256, |u| {
         let (mut directory, began) = directory(&ENDPOINTS);
         let mut left: BTreeSet<&str> = BTreeSet::new();
@@ -223,14 +233,14 @@
         }
         1 if left.contains(id) => {
             directory.on_change(now, removed(id));
-            // What comes after that is a new entry, unless the store is restored first.
+            // A later entry would be a new one, unless the store is restored first.
             directory.on_restored(now);
         }
         2 => {
             let listed: Vec<_> = ENDPOINTS.iter().map(|id| ready(id)).collect();
             directory.on_listing(now, listed);
         }
-        _ => drop(directory.on_told_change(Instant::now(), Change::Put(ready(id)))),
+        _ => drop(directory.on_replicated_change(Instant::now(), Change::Put(ready(id)))),
     }
     Ok(())
 }
--- a/crates/sillbank_gateway/src/boards.rs
+++ b/crates/sillbank_gateway/src/boards.rs
@@ -100,7 +100,7 @@
         for state in engines {
             let known = kept.engines.get(&state.id);
             let known_life = known.and_then(|known| known.state.born_ms);
-            if compare_lives(state.born_ms, known_life) == LifeOrder::Older {
+            if compare_incarnations(state.born_ms, known_life) == IncarnationOrder::Older {
                 continue;
             }
             if known.is_none_or(|known| !known.state.is_about(&state)) {
@@ -183,9 +183,11 @@
     }
 
     /// Forgets what was told of the lives of an engine before its newest one.
-    pub fn on_new_life(&self, id: &str, newest_life: Option<BornMs>) {
+    pub fn on_new_life(&self, id: &str, newest_incarnation: Option<BornMs>) {
         let is_older = |state: &EngineState| {
-            state.id == id && compare_lives(state.born_ms, newest_life) == LifeOrder::Older
+            state.id == id
+                && compare_incarnations(state.born_ms, newest_incarnation)
+                    == IncarnationOrder::Older
         };
         for kept in self.by_hall.borrow_mut().values_mut() {
             kept.engines.retain(|_, engine| !is_older(&engine.state));
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -160,11 +160,15 @@
 }
 
 impl EngineState {
-    /// An engine by its newest report; `None` if it is lost. `newest_life` is the one that it tells of.
-    pub fn new(id: EndpointId, newest_life: Option<BornMs>, report: Option<&EngineReport>) -> Self {
+    /// An engine by its newest report; `None` if it is lost. `newest_incarnation` is the one that it tells of.
+    pub fn new(
+        id: EndpointId,
+        newest_incarnation: Option<BornMs>,
+        report: Option<&EngineReport>,
+    ) -> Self {
         Self {
             id,
-            born_ms: newest_life,
+            born_ms: newest_incarnation,
             is_lost: report.is_none(),
             layers: report.and_then(|report| report.layers),
             waiting: report.map_or(0, |report| report.waiting),
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -258,7 +258,7 @@
         self.metrics.store_era.set(at.era as i64);
         self.knowledge.on_call_answered(sent);
         if !self.store_reached.replace(true) {
-            self.knowledge.on_store_back(Instant::now());
+            self.knowledge.on_store_recovered(Instant::now());
             tracing::info!(follower, "store: Back.");
         }
     }
--- a/crates/sillbank_gateway/src/knowledge.rs
+++ b/crates/sillbank_gateway/src/knowledge.rs
@@ -122,7 +122,7 @@
         }
         let was_fresh = self.is_fresh(Instant::now());
         self.lease.borrow_mut().confirm(sent);
-        self.directory.borrow_mut().on_store_seen(sent);
+        self.directory.borrow_mut().on_store_reachable(sent);
         if !was_fresh {
             // Others that are told by this VM wait for it too.
             self.change();
@@ -136,7 +136,7 @@
         self.note_era(at);
         let is_unsettled = |restored: Instant| confirmed < restored + REWRITTEN_WITHIN;
         if self.restored_at.get().is_some_and(is_unsettled) {
-            self.directory.borrow_mut().on_store_seen(confirmed);
+            self.directory.borrow_mut().on_store_reachable(confirmed);
             self.catalog_at.set(self.catalog_at.get().max(at));
             return;
         }
@@ -358,7 +358,7 @@
     pub fn hear_life(&self, id: &str, born_ms: BornMs) {
         let mut directory = self.directory.borrow_mut();
         let before = directory.newest_change();
-        directory.on_life(id, born_ms);
+        directory.on_incarnation(id, born_ms);
         let has_changed = directory.newest_change() != before;
         drop(directory);
         if has_changed {
@@ -367,8 +367,8 @@
     }
 
     /// Endpoints that were found to have started again since this was last asked.
-    pub fn take_renewed(&self) -> Vec<EndpointId> {
-        self.directory.borrow_mut().take_renewed()
+    pub fn take_restarted(&self) -> Vec<EndpointId> {
+        self.directory.borrow_mut().take_restarted()
     }
 
     /// Endpoints that a restored store listed again and that were held back since this was last asked.
@@ -382,8 +382,8 @@
     }
 
     /// The store answered again.
-    pub fn on_store_back(&self, now: Instant) {
-        self.directory.borrow_mut().on_store_back(now);
+    pub fn on_store_recovered(&self, now: Instant) {
+        self.directory.borrow_mut().on_store_recovered(now);
         self.wake_for_store();
     }
 
@@ -394,13 +394,13 @@
 
     /// A call to the store that was sent at a moment failed; answers whether that is trouble of the store. It is none if a
     /// call that was sent later was answered, to this VM or another one.
-    pub fn on_call_failed(&self, sent: Instant, now: Instant, trouble: StoreTrouble) -> bool {
+    pub fn on_call_failed(&self, sent: Instant, now: Instant, trouble: StoreFailure) -> bool {
         self.directory.borrow_mut().on_call_failed(sent, now, trouble)
     }
 
     /// When the next lapsed entry is to be evicted; `None` if there is none or the store is away.
-    pub fn next_lapse_end(&self) -> Option<Instant> {
-        self.directory.borrow().next_lapse_end()
+    pub fn next_eviction(&self) -> Option<Instant> {
+        self.directory.borrow().next_eviction()
     }
 
     /// Ends the grace of lapsed entries; answers the ids of those that did not come back.
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -113,7 +113,7 @@
 pub async fn sweep<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
         let next = Instant::now() + SWEEP;
-        let lapse_end = gateway.knowledge.next_lapse_end();
+        let lapse_end = gateway.knowledge.next_eviction();
         smol::Timer::at(lapse_end.map_or(next, |end| end.min(next))).await;
         let now = Instant::now();
         gateway.channels.sweep(now);
--- a/crates/sillbank_gateway/src/lives.rs
+++ b/crates/sillbank_gateway/src/lives.rs
@@ -34,16 +34,17 @@
     /// Ends what is kept of the older lives of endpoints that have started again.
     pub fn clear_older_lives(&self) {
         let now = Instant::now();
-        for id in self.knowledge.take_renewed() {
-            let newest_life = self.knowledge.endpoints(|directory| directory.newest_life(&id));
+        for id in self.knowledge.take_restarted() {
+            let newest_incarnation =
+                self.knowledge.endpoints(|directory| directory.newest_incarnation(&id));
             self.book.on_new_life(&id, now);
             self.channels.forget(&id);
             self.heard.on_new_life(&id);
             self.pushback.borrow_mut().on_new_life(&id);
             self.call_book.retain(|known| known != id);
-            self.hall.boards.on_new_life(&id, newest_life);
+            self.hall.boards.on_new_life(&id, newest_incarnation);
             self.metrics.renewed_endpoints.inc();
-            tracing::info!(endpoint = id, born_ms = newest_life, "endpoint: Started again.");
+            tracing::info!(endpoint = id, born_ms = newest_incarnation, "endpoint: Started again.");
         }
     }
 
@@ -57,5 +58,5 @@
 
 /// Whether what was told of one life of an endpoint may hold of its newest one.
 pub fn may_be_current(told: Option<BornMs>, newest: Option<BornMs>) -> bool {
-    compare_lives(told, newest) != LifeOrder::Older
+    compare_incarnations(told, newest) != IncarnationOrder::Older
 }
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -185,8 +185,8 @@
     let mut by_hall: BTreeMap<HallId, Vec<EngineRoom>> = BTreeMap::new();
     views.knowledge.endpoints(|directory| {
         for record in directory.usable_of(&service.name) {
-            let newest_life = directory.newest_life(&record.id);
-            if let Some(room) = engine_room(views, record, newest_life, figures) {
+            let newest_incarnation = directory.newest_incarnation(&record.id);
+            if let Some(room) = engine_room(views, record, newest_incarnation, figures) {
                 by_hall.entry(record.hall.clone()).or_default().push(room);
             }
         }
@@ -199,7 +199,7 @@
 fn engine_room(
     views: Views<'_>,
     record: &EndpointRecord,
-    newest_life: Option<BornMs>,
+    newest_incarnation: Option<BornMs>,
     figures: &EngineFigures,
 ) -> Option<EngineRoom> {
     if !views.book.may_run_part(&record.id) {
@@ -207,7 +207,7 @@
     }
     let kind = figures.accelerator(record.accelerator.as_deref()?)?;
     let read = |news: EngineNews<'_>| {
-        let is_of_this_life = may_be_current(news.state.born_ms, newest_life);
+        let is_of_this_life = may_be_current(news.state.born_ms, newest_incarnation);
         is_of_this_life.then(|| room_of(news.state, figures, kind)).flatten()
     };
     views.hall.boards.engine(&record.hall, &record.id, views.now, read)?
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -239,7 +239,9 @@
             .usable_of(&ask.service.name)
             .filter(|record| halls.includes(&record.hall, ask.home))
             .filter(|record| !ask.avoid.contains(&record.id) && views.book.may_run_part(&record.id))
-            .filter_map(|record| candidate(views, ask, record, directory.newest_life(&record.id)))
+            .filter_map(|record| {
+                candidate(views, ask, record, directory.newest_incarnation(&record.id))
+            })
             .collect()
     })
 }
@@ -249,12 +251,12 @@
     views: Views<'_>,
     ask: PathAsk<'_>,
     record: &EndpointRecord,
-    newest_life: Option<BornMs>,
+    newest_incarnation: Option<BornMs>,
 ) -> Option<Candidate> {
     let Views { hall, book, mechanisms, chance, now, .. } = views;
     let figures = ask.figures;
     let read = |news: EngineNews<'_>| {
-        may_be_current(news.state.born_ms, newest_life).then(|| Told::new(news, figures))
+        may_be_current(news.state.born_ms, newest_incarnation).then(|| Told::new(news, figures))
     };
     let told = hall.boards.engine(&record.hall, &record.id, now, read).flatten();
     // What the hall's leader heard from the engine is newer than its entry in the store.
--- a/crates/sillbank_gateway/src/placement/mod.rs
+++ b/crates/sillbank_gateway/src/placement/mod.rs
@@ -79,7 +79,7 @@
         let settings = self.gateway.settings();
         let now = Instant::now();
         let engines = self.known.iter().map(|(id, known)| {
-            EngineState::new(id.clone(), known.newest_life(), known.report.as_ref())
+            EngineState::new(id.clone(), known.newest_incarnation(), known.report.as_ref())
         });
         let vms = self.gateway.hall.vms(now);
         self.gateway.hall.note_hall_vms(vms);
@@ -226,8 +226,9 @@
     async fn ask_all(&mut self, engines: &BTreeMap<EndpointId, EndpointRecord>, layers: u16) {
         self.known.retain(|id, _| engines.contains_key(id));
         for id in engines.keys() {
-            let newest_life = self.gateway.knowledge.endpoints(|known| known.newest_life(id));
-            self.known.entry(id.clone()).or_default().on_life(newest_life);
+            let newest_incarnation =
+                self.gateway.knowledge.endpoints(|known| known.newest_incarnation(id));
+            self.known.entry(id.clone()).or_default().on_incarnation(newest_incarnation);
         }
         let asking: Vec<(EndpointId, smol::Task<ReportOutcome>)> = engines
             .values()
--- a/crates/sillbank_gateway/src/placement/reports.rs
+++ b/crates/sillbank_gateway/src/placement/reports.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct KnownEngine {
     /// The newest life that its entry or its reports told of.
-    newest_life: Option<BornMs>,
+    newest_incarnation: Option<BornMs>,
     /// Its newest report, unless it is lost.
     pub report: Option<EngineReport>,
     /// Reports in a row that are missing.
@@ -63,25 +63,26 @@
     }
 
     /// The newest life that is known of it.
-    pub fn newest_life(&self) -> Option<BornMs> {
-        self.newest_life
+    pub fn newest_incarnation(&self) -> Option<BornMs> {
+        self.newest_incarnation
     }
 
     /// News of one of its lives; a newer one ends what is known of those before, also what they were ordered.
-    pub fn on_life(&mut self, born_ms: Option<BornMs>) {
-        if compare_lives(born_ms, self.newest_life) == LifeOrder::Newer {
+    pub fn on_incarnation(&mut self, born_ms: Option<BornMs>) {
+        if compare_incarnations(born_ms, self.newest_incarnation) == IncarnationOrder::Newer {
             *self = Self::default();
         }
-        self.newest_life = born_ms.max(self.newest_life);
+        self.newest_incarnation = born_ms.max(self.newest_incarnation);
     }
 
     /// Takes what came of asking; `is_suspect` says whether this VM's own exchanges with the engine failed.
     pub fn on_asked(&mut self, asked: ReportOutcome, is_suspect: bool) {
         match asked {
             ReportOutcome::Reported(report)
-                if compare_lives(report.born_ms, self.newest_life) == LifeOrder::Older => {}
+                if compare_incarnations(report.born_ms, self.newest_incarnation)
+                    == IncarnationOrder::Older => {}
             ReportOutcome::Reported(report) => {
-                self.on_life(report.born_ms);
+                self.on_incarnation(report.born_ms);
                 self.report = Some(report);
                 self.fault = None;
                 self.missed = 0;
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -27,7 +27,7 @@
         if asks_nothing || !self.keeps_pushback() || self.book.renewed_since(endpoint, sent_at) {
             return;
         }
-        let life = self.knowledge.endpoints(|directory| directory.newest_life(endpoint));
+        let life = self.knowledge.endpoints(|directory| directory.newest_incarnation(endpoint));
         let (draw, now) = (self.chance.fraction(), Instant::now());
         let events = self.pushback.borrow_mut().on_answer(endpoint, life, pushback, draw, now);
         if !events.is_empty() {
@@ -45,9 +45,9 @@
         }
         let is_current = |told: &&LimitNews| {
             self.knowledge.endpoints(|directory| {
-                let newest_life = directory.newest_life(&told.endpoint);
+                let newest_incarnation = directory.newest_incarnation(&told.endpoint);
                 directory.get(&told.endpoint).is_some()
-                    && crate::lives::may_be_current(told.born_ms, newest_life)
+                    && crate::lives::may_be_current(told.born_ms, newest_incarnation)
             })
         };
         let limits: Vec<LimitNews> = limits.iter().filter(is_current).cloned().collect();
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -35,7 +35,7 @@
 
     /// Names the life of an endpoint, where it tells when it began.
     fn life_name(&self, endpoint: &str) -> String {
-        match self.knowledge.endpoints(|directory| directory.newest_life(endpoint)) {
+        match self.knowledge.endpoints(|directory| directory.newest_incarnation(endpoint)) {
             Some(born_ms) => format!("{endpoint}@{born_ms}"),
             None => endpoint.to_owned(),
         }
--- a/crates/sillbank_gateway/src/store.rs
+++ b/crates/sillbank_gateway/src/store.rs
@@ -50,10 +50,10 @@
     }
 
     /// What the failure tells of the entries of endpoints.
-    pub fn trouble(&self) -> StoreTrouble {
+    pub fn trouble(&self) -> StoreFailure {
         match self {
-            Self::Refused(TOO_MANY_CALLS) => StoreTrouble::TurnsAway,
-            _ => StoreTrouble::Away,
+            Self::Refused(TOO_MANY_CALLS) => StoreFailure::RateLimited,
+            _ => StoreFailure::Unreachable,
         }
     }
 }
--- a/crates/sillbank_gateway/tests/knowledge.rs
+++ b/crates/sillbank_gateway/tests/knowledge.rs
@@ -156,7 +156,8 @@
     knowledge.take_told(&mut replication, revision(10), told_by_leader(&["b"], 10), false);
     assert_eq!(knowledge.endpoints(Directory::len), 2);
 
-    let nothing_new = Difference { begins_anew: false, changes: vec![], goes_on: false, seen: 1 };
+    let nothing_new =
+        Difference { starts_snapshot: false, changes: vec![], has_more: false, seen: 1 };
     knowledge.take_told(&mut replication, revision(10), nothing_new, true);
 
     assert_eq!(replication.seen(), 0);
--- a/crates/sillbank_gateway/tests/store.rs
+++ b/crates/sillbank_gateway/tests/store.rs
@@ -7,7 +7,7 @@
 fn a_refusal_for_the_rate_of_calls_is_no_outage() {
     let trouble = StoreError::Refused(429).trouble();
 
-    assert_eq!(trouble, StoreTrouble::TurnsAway);
+    assert_eq!(trouble, StoreFailure::RateLimited);
 }
 
 #[test]
@@ -20,5 +20,5 @@
 
     let troubles = errors.map(|error| error.trouble());
 
-    assert_eq!(troubles, [StoreTrouble::Away; 3]);
+    assert_eq!(troubles, [StoreFailure::Unreachable; 3]);
 }
