--- a/crates/sillbank_control/src/lease_io.rs
+++ b/crates/sillbank_control/src/lease_io.rs
@@ -2,7 +2,7 @@
 
 use crate::platform_client::{PlatformError, WriteAnswer};
 use crate::state::Control;
-use sillbank_lease::{Candidate, LeaseRecord, LeaseWrite, Moment, WriteEnd};
+use sillbank_lease::{Candidate, LeaseRecord, LeaseWrite, Moment, WriteOutcome};
 use sillbank_protocol::platform::Version;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -46,14 +46,14 @@
     }
 
     /// Carries out a write.
-    pub(crate) async fn write(&self, key: &str, write: &LeaseWrite) -> WriteEnd {
+    pub(crate) async fn write(&self, key: &str, write: &LeaseWrite) -> WriteOutcome {
         let Ok(value) = serde_json::to_string(&write.record) else {
-            return WriteEnd::Lost;
+            return WriteOutcome::Lost;
         };
         match self.control.platform.write(key, write.expected, Some(&value)).await {
-            Ok(WriteAnswer::Written(object)) => WriteEnd::Written(object.version),
-            Ok(WriteAnswer::Changed(_)) => WriteEnd::Changed,
-            Err(_) => WriteEnd::Lost,
+            Ok(WriteAnswer::Written(object)) => WriteOutcome::Written(object.version),
+            Ok(WriteAnswer::Changed(_)) => WriteOutcome::Changed,
+            Err(_) => WriteOutcome::Lost,
         }
     }
 }
--- a/crates/sillbank_control/src/once.rs
+++ b/crates/sillbank_control/src/once.rs
@@ -132,11 +132,11 @@
     let io = LeaseIo::new(&control);
     let key = lease_key(&name);
     let now = moment();
-    let wants_read = match control.slots.slots.borrow().get(&name) {
-        Some(watched) => watched.slot.lease.wants_read(),
+    let needs_read = match control.slots.slots.borrow().get(&name) {
+        Some(watched) => watched.slot.lease.needs_read(),
         None => return,
     };
-    let write = if wants_read {
+    let write = if needs_read {
         match io.read(&key).await {
             Ok(read) => {
                 with_lease(&control, &name, |lease| lease.on_read(moment(), read, io.mark()))
@@ -148,7 +148,7 @@
     };
     if let Some(write) = write {
         let end = io.write(&key, &write).await;
-        with_lease(&control, &name, |lease| lease.on_write_end(moment(), end));
+        with_lease(&control, &name, |lease| lease.on_write_outcome(moment(), end));
     }
     settle(&control, &name);
 }
@@ -308,7 +308,7 @@
     }
     let io = LeaseIo::new(control);
     let done = handed.is_some();
-    let write = with_lease(control, name, |lease| lease.give_up(moment(), io.mark(), handed));
+    let write = with_lease(control, name, |lease| lease.release(moment(), io.mark(), handed));
     if let Some(write) = write {
         io.write(&lease_key(name), &write).await;
         return done;
--- a/crates/sillbank_control/src/orders.rs
+++ b/crates/sillbank_control/src/orders.rs
@@ -98,7 +98,7 @@
         }
         let control = self.control.clone();
         let io = LeaseIo::new(&control);
-        let write = match self.lease.wants_read() {
+        let write = match self.lease.needs_read() {
             true => match io.read(&self.key).await {
                 Ok(read) => self.lease.on_read(moment(), read, io.mark()),
                 Err(_) => None,
@@ -107,7 +107,7 @@
         };
         if let Some(write) = write {
             let end = io.write(&self.key, &write).await;
-            self.lease.on_write_end(moment(), end);
+            self.lease.on_write_outcome(moment(), end);
         }
     }
 
--- a/crates/sillbank_gateway/src/counted_store.rs
+++ b/crates/sillbank_gateway/src/counted_store.rs
@@ -6,7 +6,7 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use sillbank_fleet::prelude::*;
-use sillbank_lease::{LeaseRecord, LeaseWrite, WriteEnd};
+use sillbank_lease::{LeaseRecord, LeaseWrite, WriteOutcome};
 use sillbank_quarantine::prelude::*;
 use std::time::Duration;
 
@@ -85,11 +85,11 @@
         &self,
         expected: Option<Revision>,
         record: &QuarantineRecord,
-    ) -> WriteEnd<Revision> {
+    ) -> WriteOutcome<Revision> {
         self.count("write_quarantine").write_quarantine(expected, record).await
     }
 
-    async fn write_lease(&self, name: &str, write: &LeaseWrite<Revision>) -> WriteEnd<Revision> {
+    async fn write_lease(&self, name: &str, write: &LeaseWrite<Revision>) -> WriteOutcome<Revision> {
         self.count("write_lease").write_lease(name, write).await
     }
 }
--- a/crates/sillbank_gateway/src/placement/leadership.rs
+++ b/crates/sillbank_gateway/src/placement/leadership.rs
@@ -6,7 +6,7 @@
 use crate::store::MetadataStore;
 use crate::wire::Wire;
 use sillbank_core::prelude::*;
-use sillbank_lease::{Candidate, Lease, LeaseState, LeaseWrite, Moment, WriteEnd};
+use sillbank_lease::{Candidate, Lease, LeaseState, LeaseWrite, Moment, WriteOutcome};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
@@ -67,7 +67,7 @@
             Candidate { vm: settings.vm.clone(), peer: settings.peer_listen, term: LEASE_TERM };
         Self {
             gateway: gateway.clone(),
-            lease: Lease::new(candidate).retaking_own(),
+            lease: Lease::new(candidate).reclaiming_own(),
             era: gateway.store.newest_era(),
             chance: gateway.chance.clone(),
             name: lease_name(&settings.hall),
@@ -101,12 +101,12 @@
             return;
         }
         let mut write = self.lease.on_tick(moment(), self.chance.number());
-        if write.is_none() && self.lease.wants_read() && self.read_is_due(now) {
+        if write.is_none() && self.lease.needs_read() && self.read_is_due(now) {
             write = self.read().await;
         }
         if let Some(write) = write {
             let end = self.gateway.store.write_lease(&self.name, &write).await;
-            self.lease.on_write_end(moment(), end);
+            self.lease.on_write_outcome(moment(), end);
         }
         self.note();
     }
@@ -201,8 +201,8 @@
         let write = self.lease.hand_over(moment(), self.chance.number(), vm.clone(), peer);
         let Some(write) = write else { return };
         let end = self.gateway.store.write_lease(&self.name, &write).await;
-        self.lease.on_write_end(moment(), end);
-        if matches!(end, WriteEnd::Written(_)) {
+        self.lease.on_write_outcome(moment(), end);
+        if matches!(end, WriteOutcome::Written(_)) {
             self.handed_to = Some(peer);
         }
         tracing::info!(lease = self.name, to = vm, ?end, "lease: Handed over.");
@@ -218,9 +218,9 @@
             self.hand_over(vm, peer).await;
             return;
         }
-        if let Some(write) = self.lease.give_up(moment(), self.chance.number(), None) {
+        if let Some(write) = self.lease.release(moment(), self.chance.number(), None) {
             let end = self.gateway.store.write_lease(&self.name, &write).await;
-            self.lease.on_write_end(moment(), end);
+            self.lease.on_write_outcome(moment(), end);
         }
         self.note();
     }
--- a/crates/sillbank_gateway/src/quarantine_store.rs
+++ b/crates/sillbank_gateway/src/quarantine_store.rs
@@ -10,7 +10,7 @@
 use crate::sources::{Followed, is_told};
 use crate::store::{MetadataStore, QuarantineObject, Snapshot, StoreError};
 use crate::wire::Wire;
-use sillbank_lease::WriteEnd;
+use sillbank_lease::WriteOutcome;
 use sillbank_quarantine::prelude::*;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -93,7 +93,7 @@
     };
     let expected = read.value.map(|object| object.revision);
     let end = gateway.store.write_quarantine(expected, &record).await;
-    if let WriteEnd::Written(at) = end {
+    if let WriteOutcome::Written(at) = end {
         gateway.quarantine.borrow_mut().on_written(&record, now_unix_ms);
         tracing::info!(requests = record.suspects.len(), %at, "quarantine: Written to the store.");
     }
--- a/crates/sillbank_gateway/src/store.rs
+++ b/crates/sillbank_gateway/src/store.rs
@@ -3,7 +3,7 @@
 use crate::revision::{Era, Revision};
 use sillbank_catalog::prelude::*;
 use sillbank_fleet::prelude::*;
-use sillbank_lease::{LeaseRecord, LeaseWrite, WriteEnd};
+use sillbank_lease::{LeaseRecord, LeaseWrite, WriteOutcome};
 use sillbank_quarantine::prelude::*;
 use std::future::Future;
 use std::time::Duration;
@@ -127,12 +127,12 @@
         &self,
         expected: Option<Revision>,
         record: &QuarantineRecord,
-    ) -> impl Future<Output = WriteEnd<Revision>>;
+    ) -> impl Future<Output = WriteOutcome<Revision>>;
 
     /// Carries out the write of a lease.
     fn write_lease(
         &self,
         name: &str,
         write: &LeaseWrite<Revision>,
-    ) -> impl Future<Output = WriteEnd<Revision>>;
+    ) -> impl Future<Output = WriteOutcome<Revision>>;
 }
--- a/crates/sillbank_lease/src/chart.rs
+++ b/crates/sillbank_lease/src/chart.rs
@@ -1,24 +1,24 @@
-//! The chart of a lease: names, and the file they are read from.
+//! The state chart of a lease: its states, events and actions, and the file that defines it.
 
 use sillbank_chart::{Chart, named_enum};
 use std::sync::LazyLock;
 
 named_enum! {
-    /// Where a lease stands, as one VM sees it.
+    /// State of a lease as seen by one VM.
     pub enum LeaseState {
         /// Not held.
         Idle = "idle",
-        /// A first write is on its way.
+        /// A first write is in flight.
         Writing = "writing",
-        /// A first write's answer was lost.
+        /// The answer to a first write was lost; the write may have taken effect.
         Unsure = "unsure",
         /// Held.
         Held = "held",
-        /// A renewal is on its way; held until the old term is over.
+        /// A renewal is in flight; held until the old term is over.
         Renewing = "renewing",
-        /// A renewal's answer was lost; held until the old term is over.
+        /// The answer to a renewal was lost; held until the old term is over.
         RenewUnsure = "renew_unsure",
-        /// The write that frees it is on its way; not held any more.
+        /// The write that frees it is in flight; no longer held.
         Releasing = "releasing",
         /// The store was restored from a copy; held until the old term is over.
         Restored = "restored",
--- a/crates/sillbank_lease/src/lib.rs
+++ b/crates/sillbank_lease/src/lib.rs
@@ -1,14 +1,14 @@
-//! Leases kept as platform objects.
+//! Leases stored as platform objects.
 //!
-//! A holder counts its term from before its write left, by a clock that a pause does not fool,
-//! and stops an eighth of the term early. Another VM waits an eighth longer than the term from
-//! when it first saw the holder's version. The object's version is the fence.
+//! A holder counts its term from before it sent the write, by clocks that together notice a pause
+//! of the process, and stops an eighth of the term early. Another VM waits an eighth longer than
+//! the term after it first read the holder's version. The object's version is the fencing token.
 //!
-//! A store that is restored from a copy has lost what was written since, leases too. The holder keeps its lease for the
-//! rest of its term and renews it as soon as it has read what is there; nobody else takes it for as long as any holder
-//! may rely on the old term.
+//! A store that is restored from a copy has lost later writes, including leases. The holder keeps
+//! its lease for the rest of its term and renews it as soon as it has read the object; no other VM
+//! takes the lease while any holder may still rely on the old term.
 //!
-//! Pure: what the platform answered and the time come in, writes to make go out.
+//! Pure: answers of the platform and the time are inputs, the writes to make are outputs.
 
 #![forbid(unsafe_code)]
 
@@ -23,24 +23,24 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A moment by two clocks. The monotonic one may stand still while a VM is paused from outside,
-/// the wall clock may be set; what is held must be held by both.
+/// A point in time on two clocks. The monotonic clock may stand still while a VM is paused from
+/// outside, and the wall clock may be set, so a lease must be valid by both.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Moment {
     /// Monotonic clock.
     pub monotonic: Instant,
-    /// Wall clock, in milliseconds since 1970.
+    /// Wall clock, in milliseconds of Unix time.
     pub wall_ms: u64,
 }
 
 impl Moment {
-    /// A moment from readings of both clocks. A wall clock before 1970 counts as 1970.
+    /// Combines readings of both clocks. A wall clock before 1970 counts as 1970.
     pub fn from_clocks(monotonic: Instant, wall: SystemTime) -> Self {
-        let since = wall.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Self { monotonic, wall_ms: since.as_millis() as u64 }
+        let since_epoch = wall.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+        Self { monotonic, wall_ms: since_epoch.as_millis() as u64 }
     }
 
-    /// Time since an earlier moment: the longer of the two clocks' words.
+    /// Time since an earlier moment: the longer of the times by both clocks.
     pub fn since(&self, earlier: Moment) -> Duration {
         let wall = Duration::from_millis(self.wall_ms.saturating_sub(earlier.wall_ms));
         self.monotonic.saturating_duration_since(earlier.monotonic).max(wall)
@@ -50,60 +50,60 @@
 /// Content of a lease's object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Holder, empty if free.
+    /// Holder; empty if the lease is free.
     pub owner: VmId,
-    /// Where the holder's peers' connections come.
+    /// Address at which the holder accepts connections of its peers.
     pub peer: SocketAddr,
-    /// Drawn for each write, so that a writer knows its own; another life of the same VM does not
-    /// take it for its own.
+    /// Random number of the write, by which a process recognises its own write. Another incarnation
+    /// of the same VM does not mistake it for its own.
     pub mark: u64,
     /// Term, in milliseconds.
     pub term_ms: u64,
-    /// Of a free lease: who was given all that its last holder kept; empty if nobody was.
+    /// Of a free lease: the VM that received the state of the last holder; empty if none did.
     pub heir: VmId,
 }
 
-/// What a holder knows of the one before.
+/// How a held lease was acquired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Origin {
-    /// There was never one.
+pub enum Acquisition {
+    /// There was never a holder before.
     Fresh,
-    /// It named this VM its heir.
+    /// The last holder named this VM as its heir.
     Inherited,
-    /// It lapsed, or named nobody or another.
+    /// The last holder's lease lapsed, or it named another heir or none.
     TakenOver,
 }
 
 /// A conditional write to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseWrite<V = Version> {
-    /// Version that must be there, or `None` for no object.
+    /// Version that the object must have, or `None` if there must be no object.
     pub expected: Option<V>,
-    /// What to write.
+    /// Record to write.
     pub record: LeaseRecord,
 }
 
-/// How a write ended.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteEnd<V = Version> {
+pub enum WriteOutcome<V = Version> {
     /// It took effect with this version.
     Written(V),
-    /// Something else was there.
+    /// The object had another version.
     Changed,
-    /// It was refused or never sent: nothing was done.
+    /// It was refused or never sent, so it had no effect.
     Refused,
-    /// There was no answer.
+    /// There was no answer; it may have taken effect.
     Lost,
 }
 
-/// Who this VM is, as a holder.
+/// Identity of this VM as a possible holder.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// Name.
+    /// Name of the VM.
     pub vm: VmId,
-    /// Where its peers' connections come.
+    /// Address at which it accepts connections of its peers.
     pub peer: SocketAddr,
-    /// Term it asks for.
+    /// Term of its leases.
     pub term: Duration,
 }
 
@@ -112,104 +112,112 @@
 pub struct Lease<V = Version> {
     candidate: Candidate,
     state: LeaseState,
-    /// What was last read, and when this version was first seen.
-    seen: Option<(V, LeaseRecord, Moment)>,
-    /// The write on its way or unsure.
+    /// The version last read, its record, and when this version was first read.
+    observed: Option<(V, LeaseRecord, Moment)>,
+    /// The write that is in flight or whose outcome is unknown.
     pending: Option<Pending>,
     held: Option<Held<V>>,
-    retakes_own: bool,
-    /// Before this moment a holder may rely on a lease that a restored store has lost.
-    claims_from: Option<Instant>,
+    reclaims_own: bool,
+    /// Until this moment another VM may rely on a lease that a restored store has lost.
+    takeover_blocked_until: Option<Instant>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Pending {
     mark: u64,
-    left: Moment,
-    origin: Origin,
+    /// When the write was sent.
+    sent: Moment,
+    acquisition: Acquisition,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Held<V> {
     version: V,
+    /// When the write that acquired or renewed the lease was sent.
     since: Moment,
-    origin: Origin,
+    acquisition: Acquisition,
 }
 
 impl<V: Copy + PartialEq> Lease<V> {
-    /// A lease nothing is known of.
+    /// Creates a lease of which nothing is known yet.
     pub fn new(candidate: Candidate) -> Self {
         Self {
             candidate,
             state: chart().initial(),
-            seen: None,
+            observed: None,
             pending: None,
             held: None,
-            retakes_own: false,
-            claims_from: None,
+            reclaims_own: false,
+            takeover_blocked_until: None,
         }
     }
 
-    /// Takes a lease that names this VM and its peers' address at once, without waiting for its end.
-    /// Only for a process that listens at that address: whoever wrote the record was this process or
-    /// one that has ended.
-    pub fn retaking_own(mut self) -> Self {
-        self.retakes_own = true;
+    /// Takes over a lease that names this VM and its peer address at once, without waiting for it
+    /// to lapse. Only valid for a process that listens at that address: the record was then written
+    /// by this process or by one that has ended.
+    pub fn reclaiming_own(mut self) -> Self {
+        self.reclaims_own = true;
         self
     }
 
-    /// Where it stands.
+    /// Current state.
     pub fn state(&self) -> LeaseState {
         self.state
     }
 
-    /// The fence if the lease is held at this moment. Ask right before each use.
+    /// The fencing token if the lease is held now. Call it right before each use of the lease.
     pub fn fence(&self, now: Moment) -> Option<V> {
         let held = self.held?;
-        (now.since(held.since) < self.usable()).then_some(held.version)
+        (now.since(held.since) < self.usable_term()).then_some(held.version)
     }
 
-    /// What is known of the holder before; of a held lease.
-    pub fn origin(&self) -> Option<Origin> {
-        self.held.map(|held| held.origin)
+    /// How the lease was acquired; `None` if it is not held.
+    pub fn acquisition(&self) -> Option<Acquisition> {
+        self.held.map(|held| held.acquisition)
     }
 
-    /// What was last read: the holder, if there is one.
+    /// The record last read, if it names a holder.
     pub fn holder(&self) -> Option<&LeaseRecord> {
-        self.seen.as_ref().map(|(_, record, _)| record).filter(|record| !record.owner.is_empty())
+        self.observed
+            .as_ref()
+            .map(|(_, record, _)| record)
+            .filter(|record| !record.owner.is_empty())
     }
 
-    /// When the lease of another VM will have lapsed, unless it was renewed since it was last read. `None`
-    /// if it is free, held here or was never read.
+    /// When the lease of another VM lapses, unless it was renewed since it was last read. `None` if
+    /// it is free, held by this VM, or was never read.
     pub fn lapses_at(&self) -> Option<Instant> {
         if self.held.is_some() {
             return None;
         }
         let is_owned = |record: &LeaseRecord| !record.owner.is_empty();
-        let seen = self.seen.as_ref().filter(|(_, record, _)| is_owned(record));
-        let lapses = seen.map(|(_, record, first_seen)| first_seen.monotonic + lapse_time(record));
-        lapses.max(self.claims_from)
+        let observed = self.observed.as_ref().filter(|(_, record, _)| is_owned(record));
+        let lapses =
+            observed.map(|(_, record, first_read)| first_read.monotonic + takeover_delay(record));
+        lapses.max(self.takeover_blocked_until)
     }
 
-    /// The store was restored from a copy. What this VM holds it keeps for the rest of its term; what it does not hold
-    /// it does not take while another may still do so. Call while no write is on its way.
+    /// Records that the store was restored from a copy. If this VM holds the lease, it keeps it for
+    /// the rest of the term; if not, it does not take it while another VM may still hold it. Must
+    /// not be called while a write is in flight.
     pub fn on_restored(&mut self, now: Moment) {
-        // Whoever holds the lease wrote before the restore, so its term began before now.
+        // A holder wrote the lease before the restore, so its term began before now.
         let term_ms = self.candidate.term.as_millis() as u64;
-        self.claims_from = Some(now.monotonic + lapse_time_of(term_ms));
+        self.takeover_blocked_until = Some(now.monotonic + takeover_delay_of(term_ms));
         self.pending = None;
         self.step(now, LeaseEvent::Restored, 0);
     }
 
-    /// Whether the object should be read before anything else.
-    pub fn wants_read(&self) -> bool {
+    /// Whether the object has to be read before anything else.
+    pub fn needs_read(&self) -> bool {
         matches!(
             self.state,
             LeaseState::Idle | LeaseState::Unsure | LeaseState::RenewUnsure | LeaseState::Restored
         )
     }
 
-    /// The object was read, and answers the write to make, if any; `mark` is drawn anew.
+    /// Handles the object as it was read; returns the write to make, if any. `mark` must be a new
+    /// random number.
     pub fn on_read(
         &mut self,
         now: Moment,
@@ -219,11 +227,11 @@
         if self.state == LeaseState::Restored {
             return self.on_reread(now, read.map(|(version, _)| version), mark);
         }
-        let event = self.classify(now, read);
+        let event = self.classify_read(now, read);
         self.step(now, event, mark)
     }
 
-    /// Renews over whatever a restored store holds, if the old term is not over.
+    /// Renews the lease over whatever a restored store holds, unless the old term is over.
     fn on_reread(&mut self, now: Moment, version: Option<V>, mark: u64) -> Option<LeaseWrite<V>> {
         if self.fence(now).is_none() {
             return self.step(now, LeaseEvent::Lapsed, mark);
@@ -232,25 +240,25 @@
         Some(LeaseWrite { expected: version, ..write })
     }
 
-    /// A write has ended.
-    pub fn on_write_end(&mut self, now: Moment, end: WriteEnd<V>) {
-        match end {
-            WriteEnd::Written(version) => {
+    /// Handles the outcome of a write.
+    pub fn on_write_outcome(&mut self, now: Moment, outcome: WriteOutcome<V>) {
+        match outcome {
+            WriteOutcome::Written(version) => {
                 if matches!(self.state, LeaseState::Writing | LeaseState::Renewing) {
-                    self.hold(version);
+                    self.record_held(version);
                 }
                 self.step(now, LeaseEvent::Written, 0);
             }
-            WriteEnd::Changed => drop(self.step(now, LeaseEvent::Changed, 0)),
-            WriteEnd::Refused => drop(self.step(now, LeaseEvent::Refused, 0)),
-            WriteEnd::Lost => drop(self.step(now, LeaseEvent::Lost, 0)),
+            WriteOutcome::Changed => drop(self.step(now, LeaseEvent::Changed, 0)),
+            WriteOutcome::Refused => drop(self.step(now, LeaseEvent::Refused, 0)),
+            WriteOutcome::Lost => drop(self.step(now, LeaseEvent::Lost, 0)),
         }
     }
 
-    /// Time has passed; answers the renewal to make, if it is due.
+    /// Handles the passing of time; returns the renewal to write, if it is due.
     pub fn on_tick(&mut self, now: Moment, mark: u64) -> Option<LeaseWrite<V>> {
         let since = self.held?.since;
-        if now.since(since) >= self.usable() {
+        if now.since(since) >= self.usable_term() {
             return self.step(now, LeaseEvent::Lapsed, mark);
         }
         if now.since(since) >= self.candidate.term / 3 {
@@ -259,16 +267,17 @@
         None
     }
 
-    /// This VM wants to be rid of the lease; answers the write that frees it, if it is held.
-    /// `heir` was given all that this VM kept under it.
-    pub fn give_up(&mut self, now: Moment, mark: u64, heir: Option<VmId>) -> Option<LeaseWrite<V>> {
+    /// Releases the lease; returns the write that frees it, if it is held. `heir` is the VM that
+    /// received the state which this VM kept under the lease.
+    pub fn release(&mut self, now: Moment, mark: u64, heir: Option<VmId>) -> Option<LeaseWrite<V>> {
         let mut write = self.step(now, LeaseEvent::GiveUp, mark)?;
         write.record.heir = heir.unwrap_or_default();
         Some(write)
     }
 
-    /// This VM wants another to hold the lease; answers the write that names it, if the lease is held. The
-    /// other finds itself named and takes it, if it retakes what is its own; if not, it lapses.
+    /// Hands the lease over to another VM; returns the write that names it, if the lease is held.
+    /// The other VM takes the lease when it reads its name, if it was created with
+    /// [`reclaiming_own`](Self::reclaiming_own); otherwise the lease lapses.
     pub fn hand_over(
         &mut self,
         now: Moment,
@@ -282,50 +291,51 @@
         Some(write)
     }
 
-    fn hold(&mut self, version: V) {
-        if let Some(Pending { left, origin, mark }) = self.pending {
-            self.held = Some(Held { version, since: left, origin });
+    fn record_held(&mut self, version: V) {
+        if let Some(Pending { sent, acquisition, mark }) = self.pending {
+            self.held = Some(Held { version, since: sent, acquisition });
             let record = self.write(self.candidate.vm.clone(), mark).record;
-            self.seen = Some((version, record, left));
+            self.observed = Some((version, record, sent));
         }
     }
 
-    fn usable(&self) -> Duration {
+    /// Part of the term during which the holder uses the lease.
+    fn usable_term(&self) -> Duration {
         self.candidate.term * 7 / 8
     }
 
-    fn classify(&mut self, now: Moment, read: Option<(V, LeaseRecord)>) -> LeaseEvent {
-        let may_claim = self.claims_from.is_none_or(|from| now.monotonic >= from);
+    fn classify_read(&mut self, now: Moment, read: Option<(V, LeaseRecord)>) -> LeaseEvent {
+        let may_take_over = self.takeover_blocked_until.is_none_or(|until| now.monotonic >= until);
         let Some((version, record)) = read else {
-            self.seen = None;
-            return if may_claim { LeaseEvent::Free } else { LeaseEvent::Others };
+            self.observed = None;
+            return if may_take_over { LeaseEvent::Free } else { LeaseEvent::Others };
         };
-        let first_seen = match &self.seen {
-            Some((seen, _, at)) if *seen == version => *at,
+        let first_read = match &self.observed {
+            Some((observed, _, at)) if *observed == version => *at,
             _ => now,
         };
-        self.seen = Some((version, record.clone(), first_seen));
-        let own = self.pending.is_some_and(|pending| pending.mark == record.mark)
+        self.observed = Some((version, record.clone(), first_read));
+        let is_own = self.pending.is_some_and(|pending| pending.mark == record.mark)
             && record.owner == self.candidate.vm;
-        if own {
-            self.hold(version);
+        if is_own {
+            self.record_held(version);
             return LeaseEvent::OwnFound;
         }
         if self.held.is_some_and(|held| held.version == version) {
             return LeaseEvent::StillHeld;
         }
-        if !may_claim {
+        if !may_take_over {
             return LeaseEvent::Others;
         }
         if record.owner.is_empty() {
             return LeaseEvent::Free;
         }
         let names_own = record.owner == self.candidate.vm && record.peer == self.candidate.peer;
-        if self.retakes_own && names_own {
+        if self.reclaims_own && names_own {
             return LeaseEvent::OthersLapsed;
         }
-        let seen_for = now.monotonic.saturating_duration_since(first_seen.monotonic);
-        match seen_for >= lapse_time(&record) {
+        let observed_for = now.monotonic.saturating_duration_since(first_read.monotonic);
+        match observed_for >= takeover_delay(&record) {
             true => LeaseEvent::OthersLapsed,
             false => LeaseEvent::Others,
         }
@@ -345,14 +355,15 @@
                 None
             }
             LeaseAction::WriteOwn => {
-                let origin = self.held.map_or_else(|| self.next_origin(), |held| held.origin);
-                self.pending = Some(Pending { mark, left: now, origin });
+                let acquisition =
+                    self.held.map_or_else(|| self.next_acquisition(), |held| held.acquisition);
+                self.pending = Some(Pending { mark, sent: now, acquisition });
                 Some(self.write(self.candidate.vm.clone(), mark))
             }
             LeaseAction::WriteFree => {
                 self.pending = None;
                 let write = self.write(VmId::new(), mark);
-                // From here on nothing may be done under the lease.
+                // From now on the lease must not be used.
                 self.held = None;
                 Some(write)
             }
@@ -360,7 +371,7 @@
     }
 
     fn write(&self, owner: VmId, mark: u64) -> LeaseWrite<V> {
-        let seen = self.seen.as_ref().map(|(version, ..)| *version);
+        let observed = self.observed.as_ref().map(|(version, ..)| *version);
         let record = LeaseRecord {
             owner,
             peer: self.candidate.peer,
@@ -368,25 +379,25 @@
             term_ms: self.candidate.term.as_millis() as u64,
             heir: VmId::new(),
         };
-        LeaseWrite { expected: self.held.map(|held| held.version).or(seen), record }
+        LeaseWrite { expected: self.held.map(|held| held.version).or(observed), record }
     }
 
-    fn next_origin(&self) -> Origin {
-        match &self.seen {
-            None => Origin::Fresh,
+    fn next_acquisition(&self) -> Acquisition {
+        match &self.observed {
+            None => Acquisition::Fresh,
             Some((_, r, _)) if r.owner.is_empty() && r.heir == self.candidate.vm => {
-                Origin::Inherited
+                Acquisition::Inherited
             }
-            Some(_) => Origin::TakenOver,
+            Some(_) => Acquisition::TakenOver,
         }
     }
 }
 
-/// How long a version of the lease must have been seen before it counts as lapsed.
-fn lapse_time(record: &LeaseRecord) -> Duration {
-    lapse_time_of(record.term_ms)
+/// How long after its first read a version of the lease counts as lapsed.
+fn takeover_delay(record: &LeaseRecord) -> Duration {
+    takeover_delay_of(record.term_ms)
 }
 
-fn lapse_time_of(term_ms: u64) -> Duration {
+fn takeover_delay_of(term_ms: u64) -> Duration {
     Duration::from_millis(term_ms) * 9 / 8
 }
--- a/crates/sillbank_lease/tests/leases.rs
+++ b/crates/sillbank_lease/tests/leases.rs
@@ -1,8 +1,8 @@
-//! No two VMs hold a lease at the same time, whatever is lost, paused or raced.
+//! A lease has at most one holder at a time, whatever messages are lost and VMs paused.
 
 use arbitrary::Unstructured;
 use sillbank_lease::{
-    Candidate, Lease, LeaseRecord, LeaseState, LeaseWrite, Moment, Origin, WriteEnd,
+    Acquisition, Candidate, Lease, LeaseRecord, LeaseState, LeaseWrite, Moment, WriteOutcome,
 };
 use sillbank_testing::for_fixed_seeds;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     Moment { monotonic: start + Duration::from_millis(ms), wall_ms: 1_000_000 + ms }
 }
 
-/// The platform's object, and writes whose fate is open.
+/// The platform's object and its version.
 #[derive(Default)]
 struct Platform {
     version: u64,
@@ -27,45 +27,48 @@
 }
 
 impl Platform {
-    fn write(&mut self, write: &LeaseWrite) -> WriteEnd {
+    fn write(&mut self, write: &LeaseWrite) -> WriteOutcome {
         if self.object.as_ref().map(|(version, _)| *version) != write.expected {
-            return WriteEnd::Changed;
+            return WriteOutcome::Changed;
         }
         self.version += 1;
         self.object = Some((self.version, write.record.clone()));
-        WriteEnd::Written(self.version)
+        WriteOutcome::Written(self.version)
     }
 }
 
+/// A VM acquires a free lease, renews it and releases it to an heir, which then inherits it.
 #[test]
-fn a_free_lease_is_taken_renewed_and_freed() {
+fn free_lease_is_acquired_renewed_and_released() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut lease = Lease::new(candidate(1));
 
     let write = lease.on_read(moment(start, 0), None, 7).expect("it is free");
     let end = platform.write(&write);
-    lease.on_write_end(moment(start, 10), end);
+    lease.on_write_outcome(moment(start, 10), end);
     assert_eq!(lease.fence(moment(start, 20)), Some(1));
-    assert_eq!(lease.origin(), Some(Origin::Fresh), "there was never a holder before");
+    assert_eq!(lease.acquisition(), Some(Acquisition::Fresh), "there was never a holder before");
 
     let renewal = lease.on_tick(moment(start, 3000), 8).expect("a renewal is due");
     let end = platform.write(&renewal);
-    lease.on_write_end(moment(start, 3010), end);
+    lease.on_write_outcome(moment(start, 3010), end);
     assert_eq!(lease.fence(moment(start, 9000)), Some(2), "counted from the renewal");
 
-    let free = lease.give_up(moment(start, 9500), 9, Some("vm2".to_owned())).expect("it is held");
+    let free = lease.release(moment(start, 9500), 9, Some("vm2".to_owned())).expect("it is held");
     assert_eq!(lease.fence(moment(start, 9500)), None, "nothing is done under it any more");
     platform.write(&free);
     let mut heir = Lease::new(candidate(2));
     let write = heir.on_read(moment(start, 9600), platform.object.clone(), 10);
     let end = platform.write(&write.expect("it is free"));
-    heir.on_write_end(moment(start, 9610), end);
-    assert_eq!(heir.origin(), Some(Origin::Inherited));
+    heir.on_write_outcome(moment(start, 9610), end);
+    assert_eq!(heir.acquisition(), Some(Acquisition::Inherited));
 }
 
+/// The wait for another VM's lease starts when its version is first read, and again after a
+/// renewal.
 #[test]
-fn anothers_lease_lapses_a_term_and_an_eighth_after_its_version_was_first_read() {
+fn lease_of_other_vm_lapses_nine_eighths_of_term_after_first_read() {
     let start = Instant::now();
     let mut lease = Lease::new(candidate(2));
     assert_eq!(lease.lapses_at(), None, "nothing was read");
@@ -84,64 +87,68 @@
     assert_eq!(lease.lapses_at(), Some(of_renewal));
 }
 
+/// A lease that is handed over is usable by the named VM without a wait, and by no other VM.
 #[test]
-fn a_lease_that_is_handed_over_is_taken_at_once_by_the_vm_it_names_and_by_no_other() {
+fn handed_over_lease_is_taken_at_once_by_named_vm_only() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let (mut first, mut second) =
-        (Lease::new(candidate(1)), Lease::new(candidate(2)).retaking_own());
-    let mut third = Lease::new(candidate(3)).retaking_own();
+        (Lease::new(candidate(1)), Lease::new(candidate(2)).reclaiming_own());
+    let mut third = Lease::new(candidate(3)).reclaiming_own();
     let write = first.on_read(moment(start, 0), None, 7).expect("it is free");
     let end = platform.write(&write);
-    first.on_write_end(moment(start, 5), end);
+    first.on_write_outcome(moment(start, 5), end);
 
     let named = candidate(2);
     let write = first.hand_over(moment(start, 100), 8, named.vm, named.peer).expect("it is held");
     assert_eq!(first.fence(moment(start, 100)), None, "nothing is done under it any more");
     let end = platform.write(&write);
-    first.on_write_end(moment(start, 105), end);
+    first.on_write_outcome(moment(start, 105), end);
 
     let write = third.on_read(moment(start, 110), platform.object.clone(), 9);
     assert_eq!(write, None);
     let write = second.on_read(moment(start, 110), platform.object.clone(), 10);
     let end = platform.write(&write.expect("it is named"));
-    second.on_write_end(moment(start, 115), end);
+    second.on_write_outcome(moment(start, 115), end);
     assert_eq!(second.fence(moment(start, 120)), Some(3));
 }
 
+/// If the answer to the write takes longer than the term, the lease is not held.
 #[test]
-fn the_term_counts_from_before_the_write_left() {
+fn term_counts_from_when_write_was_sent() {
     let start = Instant::now();
     let mut lease = Lease::new(candidate(1));
     lease.on_read(moment(start, 0), None, 7).expect("it is free");
 
     // The answer takes longer than the term.
-    lease.on_write_end(moment(start, 9000), WriteEnd::Written(1));
+    lease.on_write_outcome(moment(start, 9000), WriteOutcome::Written(1));
 
     assert_eq!(lease.fence(moment(start, 9000)), None);
 }
 
+/// The lease ends if only the wall clock advanced by more than the term, as in a paused VM.
 #[test]
-fn a_pause_that_only_the_wall_clock_saw_ends_the_lease() {
+fn pause_seen_only_by_wall_clock_ends_lease() {
     let start = Instant::now();
     let mut lease = Lease::new(candidate(1));
     lease.on_read(moment(start, 0), None, 7).expect("it is free");
-    lease.on_write_end(moment(start, 10), WriteEnd::Written(1));
+    lease.on_write_outcome(moment(start, 10), WriteOutcome::Written(1));
 
     let woken = Moment { monotonic: start + Duration::from_millis(20), wall_ms: 1_600_000 };
 
     assert_eq!(lease.fence(woken), None);
 }
 
+/// A write whose answer was lost counts as held, from when it was sent, once it is read back.
 #[test]
-fn a_lost_answer_is_resolved_by_reading_back() {
+fn lost_answer_is_resolved_by_reading_the_object() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut lease = Lease::new(candidate(1));
     let write = lease.on_read(moment(start, 0), None, 7).expect("it is free");
     platform.write(&write);
 
-    lease.on_write_end(moment(start, 100), WriteEnd::Lost);
+    lease.on_write_outcome(moment(start, 100), WriteOutcome::Lost);
     assert_eq!(lease.fence(moment(start, 100)), None, "nothing is known yet");
     let next = lease.on_read(moment(start, 200), platform.object.clone(), 8);
 
@@ -150,8 +157,10 @@
     assert_eq!(lease.fence(moment(start, 7000)), None, "counted from when the write left");
 }
 
+/// A VM that acquires a free lease without being named its heir has none of the last holder's
+/// state.
 #[test]
-fn a_free_lease_that_names_another_heir_or_none_is_not_inherited() {
+fn free_lease_naming_other_heir_or_none_is_not_inherited() {
     let start = Instant::now();
     for heir in ["vm3", ""] {
         let record = LeaseRecord {
@@ -164,19 +173,20 @@
         let mut lease = Lease::new(candidate(2));
 
         lease.on_read(moment(start, 0), Some((4, record)), 6).expect("it is free");
-        lease.on_write_end(moment(start, 10), WriteEnd::Written(5));
+        lease.on_write_outcome(moment(start, 10), WriteOutcome::Written(5));
 
-        assert_eq!(lease.origin(), Some(Origin::TakenOver), "heir '{heir}'");
+        assert_eq!(lease.acquisition(), Some(Acquisition::TakenOver), "heir '{heir}'");
     }
 }
 
+/// A write that takes effect after it was given up as lost still counts from when it was sent.
 #[test]
-fn a_write_taken_for_lost_that_takes_effect_late_is_held_from_when_it_left() {
+fn late_write_is_held_from_when_it_was_sent() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut lease = Lease::new(candidate(1));
     let write = lease.on_read(moment(start, 0), None, 7).expect("it is free");
-    lease.on_write_end(moment(start, 100), WriteEnd::Lost);
+    lease.on_write_outcome(moment(start, 100), WriteOutcome::Lost);
     assert_eq!(lease.on_read(moment(start, 200), None, 8), None, "not there yet");
 
     platform.write(&write);
@@ -186,8 +196,10 @@
     assert_eq!(lease.fence(moment(start, 7_001)), None);
 }
 
+/// A restarted VM does not treat the lease of its previous incarnation as held, even with the same
+/// mark.
 #[test]
-fn a_new_life_does_not_take_the_old_lifes_lease_for_its_own() {
+fn restarted_vm_does_not_mistake_old_lease_for_its_own() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut old = Lease::new(candidate(1));
@@ -201,25 +213,28 @@
     assert_eq!(new.state(), LeaseState::Idle);
 }
 
+/// With `reclaiming_own`, a restarted VM takes over the lease of its previous incarnation without a
+/// wait.
 #[test]
-fn a_new_life_at_the_same_address_may_retake_the_old_lifes_lease_at_once() {
+fn restarted_vm_at_same_address_reclaims_lease_at_once() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut old = Lease::new(candidate(1));
     let write = old.on_read(moment(start, 0), None, 7).expect("it is free");
     platform.write(&write);
 
-    let mut new = Lease::new(candidate(1)).retaking_own();
+    let mut new = Lease::new(candidate(1)).reclaiming_own();
     let write = new.on_read(moment(start, 100), platform.object.clone(), 8).expect("it is its own");
     let end = platform.write(&write);
-    new.on_write_end(moment(start, 110), end);
+    new.on_write_outcome(moment(start, 110), end);
 
     assert_eq!(new.fence(moment(start, 120)), Some(2));
-    assert_eq!(new.origin(), Some(Origin::TakenOver));
+    assert_eq!(new.acquisition(), Some(Acquisition::TakenOver));
 }
 
+/// After a takeover, `holder` names this VM and not the previous holder.
 #[test]
-fn a_holder_that_took_over_names_itself_and_not_the_one_before() {
+fn holder_after_takeover_is_the_new_one() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut first = Lease::new(candidate(1));
@@ -230,13 +245,15 @@
 
     let write = second.on_read(moment(start, 9_200), platform.object.clone(), 9);
     let end = platform.write(&write.expect("the first has lapsed"));
-    second.on_write_end(moment(start, 9_210), end);
+    second.on_write_outcome(moment(start, 9_210), end);
 
     assert_eq!(second.holder().map(|record| record.owner.as_str()), Some("vm2"));
 }
 
+/// A process of the same name that listens at another address may be a different one, so it must
+/// wait.
 #[test]
-fn a_lease_is_not_retaken_from_the_same_name_at_another_address() {
+fn lease_is_not_reclaimed_from_another_address() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut old = Lease::new(candidate(1));
@@ -244,36 +261,39 @@
     platform.write(&write);
 
     let moved = Candidate { peer: candidate(2).peer, ..candidate(1) };
-    let mut new = Lease::new(moved).retaking_own();
+    let mut new = Lease::new(moved).reclaiming_own();
 
     assert_eq!(new.on_read(moment(start, 100), platform.object.clone(), 8), None);
 }
 
+/// A renewal that was refused, or that had no effect so far, leaves the lease held and is retried.
 #[test]
-fn a_renewal_that_was_refused_or_has_not_arrived_leaves_the_lease_held() {
-    for end in [WriteEnd::Refused, WriteEnd::Lost] {
+fn failed_renewal_leaves_lease_held() {
+    for end in [WriteOutcome::Refused, WriteOutcome::Lost] {
         let start = Instant::now();
         let mut platform = Platform::default();
         let mut lease = Lease::new(candidate(1));
         let write = lease.on_read(moment(start, 0), None, 7).expect("it is free");
         let written = platform.write(&write);
-        lease.on_write_end(moment(start, 10), written);
+        lease.on_write_outcome(moment(start, 10), written);
 
         lease.on_tick(moment(start, 3000), 8).expect("a renewal is due");
-        lease.on_write_end(moment(start, 3010), end);
-        if lease.wants_read() {
+        lease.on_write_outcome(moment(start, 3010), end);
+        if lease.needs_read() {
             assert_eq!(lease.on_read(moment(start, 3020), platform.object.clone(), 9), None);
         }
         let renewal = lease.on_tick(moment(start, 3250), 9).expect("it is tried again");
         let written = platform.write(&renewal);
-        lease.on_write_end(moment(start, 3260), written);
+        lease.on_write_outcome(moment(start, 3260), written);
 
         assert_eq!(lease.fence(moment(start, 9000)), Some(2), "{end:?}");
     }
 }
 
+/// A lease can be taken over once nine eighths of its term are over; the last holder's state is
+/// lost.
 #[test]
-fn a_lapsed_lease_is_taken_over_and_is_not_clean() {
+fn lapsed_lease_is_taken_over_without_state() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut dead = Lease::new(candidate(1));
@@ -285,34 +305,37 @@
     assert_eq!(lease.on_read(moment(start, 9900), platform.object.clone(), 8), None);
     let write = lease.on_read(moment(start, 10_001), platform.object.clone(), 8);
     let end = platform.write(&write.expect("nine eighths of the term are over"));
-    lease.on_write_end(moment(start, 10_010), end);
+    lease.on_write_outcome(moment(start, 10_010), end);
 
     assert!(lease.fence(moment(start, 10_010)).is_some());
-    assert_eq!(lease.origin(), Some(Origin::TakenOver));
+    assert_eq!(lease.acquisition(), Some(Acquisition::TakenOver));
 }
 
-/// One VM in a race: its lease, its own clock's pauses, and its write on the way.
+/// One VM in a race: its lease, its write in flight, and until when it is frozen.
 struct Racer {
     lease: Lease,
-    on_its_way: Option<LeaseWrite>,
-    /// Writes given up as lost that may still arrive.
+    in_flight: Option<LeaseWrite>,
+    /// Writes that were given up as lost and may still take effect.
     late: Vec<LeaseWrite>,
     frozen_until_ms: u64,
 }
 
+/// Whatever answers are lost and VMs frozen or restarted, two VMs never hold a lease at the same
+/// time.
 #[test]
-fn no_two_vms_hold_a_lease_at_the_same_moment() {
+fn lease_has_one_holder_at_a_time() {
     let takeovers = race(Lease::new);
     assert!(takeovers > 50, "only {takeovers} takeovers were seen");
 }
 
+/// The same for VMs that reclaim the lease of their previous incarnation.
 #[test]
-fn no_two_vms_hold_a_lease_that_is_retaken_by_new_lives() {
-    let takeovers = race(|candidate| Lease::new(candidate).retaking_own());
+fn lease_has_one_holder_at_a_time_with_reclaiming() {
+    let takeovers = race(|candidate| Lease::new(candidate).reclaiming_own());
     assert!(takeovers > 50, "only {takeovers} takeovers were seen");
 }
 
-/// Three VMs race for a lease, lose answers, freeze and start anew; answers how often it changed hands.
+/// Three VMs race for a lease, lose answers, freeze and restart; returns the number of takeovers.
 fn race(make: impl Fn(Candidate) -> Lease) -> usize {
     let mut takeovers = 0;
     for_fixed_seeds(300, 4000, |u| {
@@ -321,7 +344,7 @@
         let mut racers: Vec<Racer> = (1..=3)
             .map(|number| Racer {
                 lease: make(candidate(number)),
-                on_its_way: None,
+                in_flight: None,
                 late: Vec::new(),
                 frozen_until_ms: 0,
             })
@@ -335,7 +358,7 @@
             let number = u.choose_index(racers.len())?;
             if u.ratio(1, 60)? {
                 let ended = &mut racers[number];
-                ended.late.extend(ended.on_its_way.take());
+                ended.late.extend(ended.in_flight.take());
                 ended.lease = make(candidate(number + 1));
             }
             act(u, &mut racers[number], &mut platform, now, ms, &mut mark)?;
@@ -366,31 +389,31 @@
         return Ok(());
     }
     *mark += 1;
-    if let Some(write) = racer.on_its_way.take() {
+    if let Some(write) = racer.in_flight.take() {
         match u.int_in_range(0..=5)? {
             0 => {
                 racer.late.push(write);
-                racer.lease.on_write_end(now, WriteEnd::Lost);
+                racer.lease.on_write_outcome(now, WriteOutcome::Lost);
             }
             1 => {
                 platform.write(&write);
-                racer.lease.on_write_end(now, WriteEnd::Lost);
+                racer.lease.on_write_outcome(now, WriteOutcome::Lost);
             }
-            2 => racer.on_its_way = Some(write),
+            2 => racer.in_flight = Some(write),
             _ => {
                 let end = platform.write(&write);
-                racer.lease.on_write_end(now, end);
+                racer.lease.on_write_outcome(now, end);
             }
         }
         return Ok(());
     }
     match u.int_in_range(0..=9)? {
         0 => racer.frozen_until_ms = ms + u.int_in_range(1000..=30_000)?,
-        1 if u.ratio(1, 3)? => racer.on_its_way = racer.lease.give_up(now, *mark, None),
-        _ if racer.lease.wants_read() => {
-            racer.on_its_way = racer.lease.on_read(now, platform.object.clone(), *mark);
+        1 if u.ratio(1, 3)? => racer.in_flight = racer.lease.release(now, *mark, None),
+        _ if racer.lease.needs_read() => {
+            racer.in_flight = racer.lease.on_read(now, platform.object.clone(), *mark);
         }
-        _ => racer.on_its_way = racer.lease.on_tick(now, *mark),
+        _ => racer.in_flight = racer.lease.on_tick(now, *mark),
     }
     Ok(())
 }
--- a/crates/sillbank_lease/tests/restored.rs
+++ b/crates/sillbank_lease/tests/restored.rs
@@ -1,16 +1,16 @@
-//! No two VMs hold a lease at the same time, also where the store is restored from a copy that lacks it.
+//! A lease has at most one holder at a time, even if the store is restored from a copy without it.
 
 use arbitrary::Unstructured;
-use sillbank_lease::{Candidate, Lease, LeaseRecord, LeaseState, LeaseWrite, Moment, WriteEnd};
+use sillbank_lease::{Candidate, Lease, LeaseRecord, LeaseState, LeaseWrite, Moment, WriteOutcome};
 use sillbank_testing::for_fixed_seeds;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 const TERM: Duration = Duration::from_secs(8);
-/// Time after a restore was noticed from which a VM that does not hold the lease may take it.
-const CLAIMS_AFTER_MS: u64 = 9_000;
+/// Time after a restore is noticed until a VM that does not hold the lease may take it.
+const TAKEOVER_BLOCKED_MS: u64 = 9_000;
 
-/// Era and number within it.
+/// Era of the store and number within it.
 type Version = (u64, u64);
 
 fn candidate(number: usize) -> Candidate {
@@ -28,7 +28,7 @@
     stored: Option<(u64, LeaseRecord)>,
 }
 
-/// A store that answers with its era, and whose conditions are numbers alone.
+/// A store that answers with its era, but whose write conditions compare only numbers.
 #[derive(Default)]
 struct Store {
     era: u64,
@@ -41,8 +41,9 @@
         Some(((self.era, number), record))
     }
 
-    /// Carries a write out that was made in an era; in another one it is told as lost, whatever it did.
-    fn write(&mut self, write: &LeaseWrite<Version>, made_in: u64) -> WriteEnd<Version> {
+    /// Applies a write that was made in era `made_in`. In a later era its outcome is reported as
+    /// lost, whatever it did.
+    fn write(&mut self, write: &LeaseWrite<Version>, made_in: u64) -> WriteOutcome<Version> {
         let expected = write.expected.map(|(_, number)| number);
         let is_met = self.object.stored.as_ref().map(|(number, _)| *number) == expected;
         if is_met {
@@ -50,9 +51,9 @@
             self.object.stored = Some((self.object.number, write.record.clone()));
         }
         match is_met {
-            _ if made_in != self.era => WriteEnd::Lost,
-            true => WriteEnd::Written((self.era, self.object.number)),
-            false => WriteEnd::Changed,
+            _ if made_in != self.era => WriteOutcome::Lost,
+            true => WriteOutcome::Written((self.era, self.object.number)),
+            false => WriteOutcome::Changed,
         }
     }
 
@@ -62,17 +63,18 @@
     }
 }
 
-/// A VM that holds the lease since the start.
+/// A VM that holds the lease from the start.
 fn holder(store: &mut Store, start: Instant) -> Lease<Version> {
-    let mut lease = Lease::new(candidate(1)).retaking_own();
+    let mut lease = Lease::new(candidate(1)).reclaiming_own();
     let write = lease.on_read(moment(start, 0), store.read(), 7).expect("it is free");
     let end = store.write(&write, store.era);
-    lease.on_write_end(moment(start, 10), end);
+    lease.on_write_outcome(moment(start, 10), end);
     lease
 }
 
+/// After a restore, the holder keeps its lease and renews it over whatever the copy holds.
 #[test]
-fn the_holder_renews_over_whatever_the_copy_holds() {
+fn holder_renews_over_content_of_copy() {
     let start = Instant::now();
     let mut store = Store::default();
     let copy = store.object.clone();
@@ -83,15 +85,16 @@
     let is_held = lease.fence(moment(start, 1_000)).is_some();
     let write = lease.on_read(moment(start, 1_100), store.read(), 8).expect("it is renewed");
     let end = store.write(&write, store.era);
-    lease.on_write_end(moment(start, 1_110), end);
+    lease.on_write_outcome(moment(start, 1_110), end);
 
     assert!(is_held);
     assert_eq!(lease.state(), LeaseState::Held);
     assert_eq!(lease.fence(moment(start, 8_000)), Some((1, 1)), "counted from the renewal");
 }
 
+/// A lease that the copy shows as free is not taken before the longest possible term is over.
 #[test]
-fn a_free_lease_of_a_copy_is_not_taken_while_another_may_hold_it() {
+fn free_lease_in_copy_is_not_taken_while_another_vm_may_hold_it() {
     let start = Instant::now();
     let mut store = Store::default();
     let copy = store.object.clone();
@@ -101,17 +104,18 @@
 
     other.on_restored(moment(start, 1_000));
     let early = other.on_read(moment(start, 1_000), store.read(), 8);
-    let last = moment(start, 1_000 + CLAIMS_AFTER_MS - 1);
+    let last = moment(start, 1_000 + TAKEOVER_BLOCKED_MS - 1);
     let still_early = other.on_read(last, store.read(), 9);
-    let due = other.on_read(moment(start, 1_000 + CLAIMS_AFTER_MS), store.read(), 10);
+    let due = other.on_read(moment(start, 1_000 + TAKEOVER_BLOCKED_MS), store.read(), 10);
 
     assert_eq!((early, still_early), (None, None));
     assert!(due.is_some());
-    assert_eq!(holder.fence(moment(start, 1_000 + CLAIMS_AFTER_MS)), None);
+    assert_eq!(holder.fence(moment(start, 1_000 + TAKEOVER_BLOCKED_MS)), None);
 }
 
+/// A VM whose term ended before it noticed the restore may not renew; it waits like the others.
 #[test]
-fn a_holder_whose_term_is_over_waits_as_the_others_do() {
+fn holder_whose_term_is_over_waits_like_others() {
     let start = Instant::now();
     let mut store = Store::default();
     let mut lease = holder(&mut store, start);
@@ -126,24 +130,25 @@
     assert_eq!(lease.fence(noticed), None);
 }
 
-/// One VM: its lease, its write on the way, and the era that it has noticed.
+/// One VM: its lease, its write in flight, and the era that it has noticed.
 struct Racer {
     lease: Lease<Version>,
-    on_its_way: Option<LeaseWrite<Version>>,
+    in_flight: Option<LeaseWrite<Version>>,
     era: u64,
     frozen_until_ms: u64,
 }
 
+/// Whatever the sequence of restores, lost answers and frozen VMs, two VMs never hold the lease.
 #[test]
-fn no_two_vms_hold_a_lease_of_a_store_that_is_restored_again_and_again() {
+fn lease_has_one_holder_at_a_time_across_restores() {
     let (mut restores, mut holds) = (0, 0);
     for_fixed_seeds(400, 3_000, |u| {
         let start = Instant::now();
         let mut store = Store::default();
         let mut copy = store.object.clone();
         let new = |number| Racer {
-            lease: Lease::new(candidate(number)).retaking_own(),
-            on_its_way: None,
+            lease: Lease::new(candidate(number)).reclaiming_own(),
+            in_flight: None,
             era: 0,
             frozen_until_ms: 0,
         };
@@ -183,16 +188,16 @@
     if ms < racer.frozen_until_ms {
         return Ok(());
     }
-    if let Some(write) = racer.on_its_way.take() {
+    if let Some(write) = racer.in_flight.take() {
         match u.int_in_range(0..=4)? {
-            0 => racer.on_its_way = Some(write),
+            0 => racer.in_flight = Some(write),
             1 => {
                 store.write(&write, racer.era);
-                racer.lease.on_write_end(now, WriteEnd::Lost);
+                racer.lease.on_write_outcome(now, WriteOutcome::Lost);
             }
             _ => {
                 let end = store.write(&write, racer.era);
-                racer.lease.on_write_end(now, end);
+                racer.lease.on_write_outcome(now, end);
             }
         }
         return Ok(());
@@ -204,11 +209,11 @@
     }
     match u.int_in_range(0..=9)? {
         0 => racer.frozen_until_ms = ms + u.int_in_range(1_000..=20_000)?,
-        1 => racer.on_its_way = racer.lease.give_up(now, mark, None),
-        _ if racer.lease.wants_read() => {
-            racer.on_its_way = racer.lease.on_read(now, store.read(), mark);
+        1 => racer.in_flight = racer.lease.release(now, mark, None),
+        _ if racer.lease.needs_read() => {
+            racer.in_flight = racer.lease.on_read(now, store.read(), mark);
         }
-        _ => racer.on_its_way = racer.lease.on_tick(now, mark),
+        _ => racer.in_flight = racer.lease.on_tick(now, mark),
     }
     Ok(())
 }
--- a/crates/sillbank_once/src/slot.rs
+++ b/crates/sillbank_once/src/slot.rs
@@ -2,7 +2,7 @@
 
 use crate::claims::Claims;
 use sillbank_core::prelude::*;
-use sillbank_lease::{Candidate, Lease, Moment, Origin};
+use sillbank_lease::{Candidate, Lease, Moment, Acquisition};
 use sillbank_protocol::once::{Claim, ClaimAnswer};
 use std::time::Duration;
 
@@ -51,10 +51,10 @@
         if self.claims.is_some() {
             return None;
         }
-        let origin = self.lease.origin();
+        let origin = self.lease.acquisition();
         let (claims, tenure) = match (origin, self.inherited.take()) {
-            (Some(Origin::Inherited), Some((claims, _))) => (claims, Tenure::HandedOver),
-            (Some(Origin::Fresh), _) if !self.held_before => (Claims::complete(), Tenure::New),
+            (Some(Acquisition::Inherited), Some((claims, _))) => (claims, Tenure::HandedOver),
+            (Some(Acquisition::Fresh), _) if !self.held_before => (Claims::complete(), Tenure::New),
             _ => (Claims::taken_over(now.wall_ms), Tenure::TakenOver),
         };
         self.claims = Some(claims);
--- a/crates/sillbank_once/tests/holders.rs
+++ b/crates/sillbank_once/tests/holders.rs
@@ -3,7 +3,7 @@
 
 use arbitrary::Unstructured;
 use sillbank_core::prelude::*;
-use sillbank_lease::{Candidate, LeaseRecord, LeaseWrite, Moment, WriteEnd};
+use sillbank_lease::{Candidate, LeaseRecord, LeaseWrite, Moment, WriteOutcome};
 use sillbank_once::{ClaimAnswer, Slot};
 use sillbank_testing::for_fixed_seeds;
 use std::collections::HashMap;
@@ -64,13 +64,13 @@
         Moment { monotonic, wall_ms: 10_000_000 + self.ms }
     }
 
-    fn apply(&mut self, write: &LeaseWrite) -> WriteEnd {
+    fn apply(&mut self, write: &LeaseWrite) -> WriteOutcome {
         if self.object.as_ref().map(|(version, _)| *version) != write.expected {
-            return WriteEnd::Changed;
+            return WriteOutcome::Changed;
         }
         self.version += 1;
         self.object = Some((self.version, write.record.clone()));
-        WriteEnd::Written(self.version)
+        WriteOutcome::Written(self.version)
     }
 
     fn finish_write(&mut self, u: &mut Unstructured<'_>, number: usize) -> arbitrary::Result<()> {
@@ -80,16 +80,16 @@
         let end = match u.int_in_range(0..=5)? {
             0 => {
                 self.vms[number].late.push(write);
-                WriteEnd::Lost
+                WriteOutcome::Lost
             }
             1 => {
                 self.apply(&write);
-                WriteEnd::Lost
+                WriteOutcome::Lost
             }
             _ => self.apply(&write),
         };
         let now = self.now();
-        self.vms[number].slot.lease.on_write_end(now, end);
+        self.vms[number].slot.lease.on_write_outcome(now, end);
         self.vms[number].slot.settle(now);
         Ok(())
     }
@@ -97,7 +97,7 @@
     fn work(&mut self, number: usize) {
         let (now, object, mark) = (self.now(), self.object.clone(), self.ms * 8 + number as u64);
         let vm = &mut self.vms[number];
-        vm.on_its_way = match vm.slot.lease.wants_read() {
+        vm.on_its_way = match vm.slot.lease.needs_read() {
             true => vm.slot.lease.on_read(now, object, mark),
             false => vm.slot.lease.on_tick(now, mark),
         };
@@ -119,7 +119,7 @@
         }
         let named = reached.then(|| format!("vm{heir}"));
         let mark = self.ms * 8 + number as u64;
-        if let Some(write) = self.vms[number].slot.lease.give_up(now, mark, named) {
+        if let Some(write) = self.vms[number].slot.lease.release(now, mark, named) {
             match u.ratio(1, 4)? {
                 true => self.vms[number].late.push(write),
                 false => drop(self.apply(&write)),
