--- a/crates/sillbank_control/src/follow.rs
+++ b/crates/sillbank_control/src/follow.rs
@@ -83,6 +83,6 @@
     if taken > 0 {
         let version = newest.unwrap_or(0);
         tracing::info!("control: {taken} objects are new, up to version {version}.");
-        gossip::spread_news(control).await;
+        gossip::broadcast_news(control).await;
     }
 }
--- a/crates/sillbank_control/src/gossip.rs
+++ b/crates/sillbank_control/src/gossip.rs
@@ -56,9 +56,9 @@
 }
 
 /// Tells the hall that settings are new.
-pub(crate) async fn spread_news(control: &Rc<Control>) {
+pub(crate) async fn broadcast_news(control: &Rc<Control>) {
     let summary = control.summary();
-    let actions = control.membership.borrow_mut().spread_news(summary);
+    let actions = control.membership.borrow_mut().broadcast_news(summary);
     carry_out(control, actions).await;
 }
 
--- a/crates/sillbank_membership/src/lib.rs
+++ b/crates/sillbank_membership/src/lib.rs
@@ -1,18 +1,20 @@
-//! Which VMs there are, by hall-scoped gossip: pings, suspicion, incarnations.
+//! Membership of VMs by SWIM-style gossip within a hall: probes, suspicion, incarnations.
 //!
-//! Pure: datagrams and time come in, datagrams to send go out. Each VM pings one VM of its own
-//! hall an interval, first directly, then through two others; a VM that does not answer is
-//! suspected, and dead if it does not refute. Words about VMs travel on every datagram. Other
-//! halls are only looked at by a few delegates of a hall and are never judged from afar.
+//! Each VM probes one VM of its own hall per interval, first directly, then through two others. A
+//! VM that does not answer is suspected, and declared dead if it does not refute the suspicion.
+//! Updates about VMs are piggybacked on every datagram. Only a few delegates of each hall contact
+//! other halls, and VMs of other halls are never suspected.
+//!
+//! Pure: datagrams and the time are inputs, datagrams to send are outputs.
 
 #![forbid(unsafe_code)]
 
 mod members;
-mod replays;
+mod replay_filter;
 
 pub use members::{Member, Members};
 
-use replays::Replays;
+use replay_filter::ReplayFilter;
 use sillbank_core::hash::rendezvous;
 use sillbank_core::prelude::*;
 use sillbank_protocol::gossip::{
@@ -22,160 +24,165 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// VMs that are asked to ping one that did not answer.
-const HELPERS: usize = 2;
-/// VMs of a hall that look at other halls.
+/// Number of VMs that are asked to probe one that did not answer.
+const INDIRECT_PROBES: usize = 2;
+/// Number of VMs per hall that contact other halls.
 const DELEGATES: usize = 2;
-/// A delegate looks at another hall every so many intervals.
-const CROSS_EVERY: u64 = 3;
-/// A VM that is alone in its hall asks the seeds again every so many intervals.
-const KNOCK_EVERY: u64 = 10;
-/// Words about others on one datagram.
-const MAX_UPDATES: usize = 8;
-/// Members in one answer to a request for all.
-const MEMBERS_IN_DATAGRAM: usize = 12;
-/// Intervals that a suspicion lasts before it is a death.
+/// Intervals between a delegate's contacts to another hall.
+const CROSS_HALL_INTERVALS: u64 = 3;
+/// Intervals between requests to the seeds by a VM that is alone in its hall.
+const SEED_RETRY_INTERVALS: u64 = 10;
+/// Updates about other VMs that are piggybacked on one datagram.
+const MAX_PIGGYBACKED_UPDATES: usize = 8;
+/// Members in one datagram that answers a request for all members.
+const MAX_MEMBERS_PER_DATAGRAM: usize = 12;
+/// Intervals after which a suspected VM is declared dead.
 const SUSPICION_INTERVALS: u32 = 3;
 /// Intervals between requests for all members while digests differ.
 const SYNC_INTERVALS: u32 = 5;
 
-/// Fixed facts of one VM.
+/// Configuration of one VM's membership.
 #[derive(Debug, Clone)]
 pub struct MembershipConfig {
-    /// Name.
+    /// Name of the VM.
     pub vm: VmId,
     /// Data hall.
     pub hall: HallId,
-    /// Where its datagrams come.
+    /// Address at which it receives datagrams.
     pub gossip: SocketAddr,
-    /// Where its peers' connections come.
+    /// Address at which it accepts connections of its peers.
     pub peer: SocketAddr,
-    /// Where to begin.
+    /// Gossip addresses to contact while no other VM is known.
     pub seeds: Vec<SocketAddr>,
-    /// Interval of pings.
+    /// Interval between probes.
     pub interval: Duration,
-    /// First incarnation: the wall clock at the start, so that a new life is above the last.
+    /// First incarnation: the wall clock at the start, so that it exceeds those of earlier
+    /// processes.
     pub incarnation: Incarnation,
 }
 
-/// What the driver has to do or to know.
+/// An action for the caller of [`Membership`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Send a datagram.
+    /// Send a datagram to an address.
     Send(SocketAddr, Box<Datagram>),
-    /// A VM said this of itself.
+    /// A VM sent a summary of its state.
     Heard {
-        /// The VM.
+        /// The sender.
         vm: VmId,
         /// Its hall.
         hall: HallId,
-        /// Where its peers' connections come.
+        /// Address at which it accepts connections of its peers.
         peer: SocketAddr,
-        /// What it said.
+        /// Its summary.
         summary: Summary,
     },
 }
 
+/// A probe that has not been answered yet.
 #[derive(Debug)]
 struct Probe {
     number: u64,
     target: VmId,
-    indirect: bool,
+    is_indirect: bool,
 }
 
-/// The view of one VM.
+/// The membership as seen by one VM.
 #[derive(Debug)]
 pub struct Membership {
     config: MembershipConfig,
     incarnation: Incarnation,
-    left: bool,
+    has_left: bool,
+    /// Number of the last datagram sent.
     sequence: u64,
     members: Members,
-    replays: Replays,
+    replay_filter: ReplayFilter,
     probe: Option<Probe>,
     probe_count: u64,
-    relays: HashMap<u64, (SocketAddr, u64)>,
+    /// Probes made for other VMs, by number: the requester's address and its number of the probe.
+    relayed_probes: HashMap<u64, (SocketAddr, u64)>,
     ticks: u64,
-    ticked_at: Option<Instant>,
-    synced_at: Option<Instant>,
+    last_tick: Option<Instant>,
+    last_sync: Option<Instant>,
     rng: fastrand::Rng,
 }
 
 impl Membership {
-    /// The view of a VM that knows only its seeds.
+    /// Creates the membership of a VM that knows only its seeds. `seed` seeds its random choices.
     pub fn new(config: MembershipConfig, seed: u64) -> Self {
         Self {
             incarnation: config.incarnation,
-            left: false,
+            has_left: false,
             sequence: 0,
             members: Members::default(),
-            replays: Replays::default(),
+            replay_filter: ReplayFilter::default(),
             probe: None,
             probe_count: 0,
-            relays: HashMap::new(),
+            relayed_probes: HashMap::new(),
             ticks: 0,
-            ticked_at: None,
-            synced_at: None,
+            last_tick: None,
+            last_sync: None,
             rng: fastrand::Rng::with_seed(seed),
             config,
         }
     }
 
-    /// All other VMs that are known.
+    /// All other known VMs.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Own name and the names of the VMs of the own hall that are not dead or gone.
+    /// Names of the VMs of the own hall that are neither dead nor gone, including this one.
     pub fn hall_vms(&self) -> Vec<&str> {
-        let own = std::iter::once(self.config.vm.as_str()).filter(|_| !self.left);
+        let own = std::iter::once(self.config.vm.as_str()).filter(|_| !self.has_left);
         own.chain(self.members.live_in(&self.config.hall).map(|m| m.update.vm.as_str())).collect()
     }
 
-    /// Whether this VM is among the first `count` of its hall for a task, by rendezvous hashing.
-    /// VMs with different views may both think so; tasks chosen this way bear it.
+    /// Whether this VM is one of the `count` VMs of its hall chosen for a task by rendezvous
+    /// hashing. VMs with different views may choose differently, so more than `count` VMs may do
+    /// the task.
     pub fn is_chosen(&self, task: &str, count: usize) -> bool {
         let vms = self.hall_vms();
         rendezvous(task, vms.into_iter(), count).contains(&self.config.vm.as_str())
     }
 
-    /// One interval has passed.
+    /// Handles the end of one interval.
     pub fn on_tick(&mut self, now: Instant, mut summary: Summary) -> Vec<MembershipAction> {
-        let paused = self
-            .ticked_at
+        let was_paused = self
+            .last_tick
             .replace(now)
             .is_some_and(|last| now.saturating_duration_since(last) > self.config.interval * 3);
-        if paused {
-            // This process was frozen: that others did not answer says nothing about them.
+        if was_paused {
+            // While this process was frozen it could not receive the answers of others.
             self.probe = None;
             self.members.renew_suspicions(now);
         }
         self.ticks += 1;
         summary.members_digest = self.members_digest();
         let mut actions = Vec::new();
-        self.judge_probe(now, summary, &mut actions);
-        let suspicion = self.config.interval * SUSPICION_INTERVALS;
-        self.members.bury(now, suspicion);
-        self.members.forget_old(now);
+        self.check_probe(now, summary, &mut actions);
+        let suspicion_time = self.config.interval * SUSPICION_INTERVALS;
+        self.members.expire_suspicions(now, suspicion_time);
+        self.members.remove_expired(now);
         self.start_probe(summary, &mut actions);
-        self.look_across(summary, &mut actions);
+        self.contact_other_halls(summary, &mut actions);
         actions
     }
 
-    /// A datagram has come; its seal was right.
+    /// Handles a received datagram whose seal was valid.
     pub fn on_datagram(
         &mut self,
         now: Instant,
         datagram: Datagram,
         mut summary: Summary,
     ) -> Vec<MembershipAction> {
-        if datagram.from.vm == self.config.vm || !self.replays.is_new(&datagram) {
+        if datagram.from.vm == self.config.vm || !self.replay_filter.accept(&datagram) {
             return Vec::new();
         }
         let from = datagram.from.clone();
-        self.take_update(now, &from);
+        self.apply_update(now, &from);
         for update in &datagram.updates {
-            self.take_update(now, update);
+            self.apply_update(now, update);
         }
         summary.members_digest = self.members_digest();
         let mut actions = vec![MembershipAction::Heard {
@@ -184,13 +191,13 @@
             peer: from.peer,
             summary: datagram.summary,
         }];
-        self.answer(&datagram, summary, &mut actions);
+        self.reply(&datagram, summary, &mut actions);
         self.sync_if_different(now, &datagram, summary, &mut actions);
         actions
     }
 
-    /// Words for all VMs of the hall that settings are new.
-    pub fn spread_news(&mut self, mut summary: Summary) -> Vec<MembershipAction> {
+    /// Announces new settings to all VMs of the hall.
+    pub fn broadcast_news(&mut self, mut summary: Summary) -> Vec<MembershipAction> {
         summary.members_digest = self.members_digest();
         let hall = self.config.hall.clone();
         let addresses: Vec<SocketAddr> =
@@ -198,55 +205,56 @@
         addresses.into_iter().map(|to| self.send(to, GossipMessage::News, summary)).collect()
     }
 
-    /// Says that this VM leaves, to a few others.
+    /// Announces to up to 8 VMs of the hall that this VM leaves.
     pub fn leave(&mut self, summary: Summary) -> Vec<MembershipAction> {
-        self.left = true;
+        self.has_left = true;
         let hall = self.config.hall.clone();
         let addresses: Vec<SocketAddr> =
             self.members.live_in(&hall).map(|member| member.update.gossip).take(8).collect();
         addresses.into_iter().map(|to| self.send(to, GossipMessage::News, summary)).collect()
     }
 
-    fn take_update(&mut self, now: Instant, update: &MemberUpdate) {
+    fn apply_update(&mut self, now: Instant, update: &MemberUpdate) {
         if update.vm != self.config.vm {
-            self.members.take(now, update);
+            self.members.apply(now, update);
             return;
         }
-        // Somebody says that this VM is not alive: it goes above that word, unless it leaves.
-        let refuted = update.state != MemberState::Alive && !self.left;
-        if refuted && update.incarnation >= self.incarnation {
+        // A VM claims that this one is not alive. Refute it with a higher incarnation, unless this
+        // VM leaves.
+        let needs_refutation = update.state != MemberState::Alive && !self.has_left;
+        if needs_refutation && update.incarnation >= self.incarnation {
             self.incarnation = update.incarnation + 1;
         }
     }
 
-    fn answer(
+    fn reply(
         &mut self,
         datagram: &Datagram,
         summary: Summary,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let back = datagram.from.gossip;
+        let sender = datagram.from.gossip;
         match &datagram.message {
             GossipMessage::Ping(number) => {
-                actions.push(self.send(back, GossipMessage::Ack(*number), summary));
+                actions.push(self.send(sender, GossipMessage::Ack(*number), summary));
             }
             GossipMessage::Ack(number) => {
                 if self.probe.as_ref().is_some_and(|probe| probe.number == *number) {
                     self.probe = None;
                 }
-                if let Some((to, asked)) = self.relays.remove(number) {
-                    actions.push(self.send(to, GossipMessage::Ack(asked), summary));
+                if let Some((to, requested)) = self.relayed_probes.remove(number) {
+                    actions.push(self.send(to, GossipMessage::Ack(requested), summary));
                 }
             }
             GossipMessage::PingRequest { probe, target } => {
                 let to = self.members.get(target).map(|member| member.update.gossip);
                 if let Some(to) = to {
                     let number = self.next_probe();
-                    self.relays.insert(number, (back, *probe));
+                    self.relayed_probes.insert(number, (sender, *probe));
                     actions.push(self.send(to, GossipMessage::Ping(number), summary));
                 }
             }
-            GossipMessage::MembersRequest => self.send_members(back, summary, actions),
+            GossipMessage::MembersRequest => self.send_members(sender, summary, actions),
             GossipMessage::News | GossipMessage::Members => {}
         }
     }
@@ -259,11 +267,11 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         let pause = self.config.interval * SYNC_INTERVALS;
-        let recent = self.synced_at.is_some_and(|at| now.saturating_duration_since(at) < pause);
-        if recent || datagram.summary.members_digest == summary.members_digest {
+        let is_recent = self.last_sync.is_some_and(|at| now.saturating_duration_since(at) < pause);
+        if is_recent || datagram.summary.members_digest == summary.members_digest {
             return;
         }
-        self.synced_at = Some(now);
+        self.last_sync = Some(now);
         actions.push(self.send(datagram.from.gossip, GossipMessage::MembersRequest, summary));
     }
 
@@ -275,22 +283,24 @@
     ) {
         let all: Vec<MemberUpdate> =
             self.members.all().map(|member| member.update.clone()).collect();
-        for chunk in all.chunks(MEMBERS_IN_DATAGRAM) {
+        for chunk in all.chunks(MAX_MEMBERS_PER_DATAGRAM) {
             let mut datagram = self.datagram(GossipMessage::Members, summary);
             datagram.updates = chunk.to_vec();
             actions.push(MembershipAction::Send(to, Box::new(datagram)));
         }
     }
 
-    fn judge_probe(&mut self, now: Instant, summary: Summary, actions: &mut Vec<MembershipAction>) {
-        // Relays whose answer never came are old by now.
-        if self.relays.len() > 64 {
-            self.relays.clear();
+    /// Handles a probe that was not answered within its interval: probes through other VMs first,
+    /// then suspects the target.
+    fn check_probe(&mut self, now: Instant, summary: Summary, actions: &mut Vec<MembershipAction>) {
+        // Most of that many relayed probes are old and will not be answered.
+        if self.relayed_probes.len() > 64 {
+            self.relayed_probes.clear();
         }
         let Some(probe) = self.probe.take() else {
             return;
         };
-        if probe.indirect {
+        if probe.is_indirect {
             self.members.suspect(now, &probe.target);
             return;
         }
@@ -302,12 +312,12 @@
             .map(|member| member.update.gossip)
             .collect();
         self.rng.shuffle(&mut helpers);
-        for helper in helpers.into_iter().take(HELPERS) {
+        for helper in helpers.into_iter().take(INDIRECT_PROBES) {
             let target = probe.target.clone();
             let message = GossipMessage::PingRequest { probe: probe.number, target };
             actions.push(self.send(helper, message, summary));
         }
-        self.probe = Some(Probe { indirect: true, ..probe });
+        self.probe = Some(Probe { is_indirect: true, ..probe });
     }
 
     fn start_probe(&mut self, summary: Summary, actions: &mut Vec<MembershipAction>) {
@@ -316,18 +326,20 @@
         }
         let Some((target, to)) = self.members.next_to_probe(&self.config.hall, &mut self.rng)
         else {
-            if self.members.all().next().is_none() || self.ticks.is_multiple_of(KNOCK_EVERY) {
-                self.knock(summary, actions);
+            if self.members.all().next().is_none()
+                || self.ticks.is_multiple_of(SEED_RETRY_INTERVALS)
+            {
+                self.contact_seeds(summary, actions);
             }
             return;
         };
         let number = self.next_probe();
-        self.probe = Some(Probe { number, target, indirect: false });
+        self.probe = Some(Probe { number, target, is_indirect: false });
         actions.push(self.send(to, GossipMessage::Ping(number), summary));
     }
 
-    /// Nobody of the hall is known: asks the seeds who there is.
-    fn knock(&mut self, summary: Summary, actions: &mut Vec<MembershipAction>) {
+    /// Requests all members from the seeds, while no VM of the hall is known.
+    fn contact_seeds(&mut self, summary: Summary, actions: &mut Vec<MembershipAction>) {
         let own = self.config.gossip;
         let seeds: Vec<SocketAddr> =
             self.config.seeds.iter().copied().filter(|seed| *seed != own).collect();
@@ -336,19 +348,21 @@
         }
     }
 
-    /// Delegates look at other halls, so that words and settings cross.
-    fn look_across(&mut self, summary: Summary, actions: &mut Vec<MembershipAction>) {
-        if !self.ticks.is_multiple_of(CROSS_EVERY) || !self.is_chosen("delegate", DELEGATES) {
+    /// Pings a VM of another hall if this VM is a delegate, to exchange updates and settings.
+    fn contact_other_halls(&mut self, summary: Summary, actions: &mut Vec<MembershipAction>) {
+        if !self.ticks.is_multiple_of(CROSS_HALL_INTERVALS)
+            || !self.is_chosen("delegate", DELEGATES)
+        {
             return;
         }
         let others: Vec<SocketAddr> =
             self.members.live_outside(&self.config.hall).map(|m| m.update.gossip).collect();
         let seeds = self.config.seeds.iter().copied().filter(|seed| *seed != self.config.gossip);
-        let choice = match others.is_empty() {
+        let candidates = match others.is_empty() {
             true => seeds.collect(),
             false => others,
         };
-        if let Some(to) = self.rng.choice(choice) {
+        if let Some(to) = self.rng.choice(candidates) {
             let number = self.next_probe();
             actions.push(self.send(to, GossipMessage::Ping(number), summary));
         }
@@ -366,7 +380,7 @@
         summary: Summary,
     ) -> MembershipAction {
         let mut datagram = self.datagram(message, summary);
-        datagram.updates = self.members.words_to_spread(MAX_UPDATES);
+        datagram.updates = self.members.updates_to_gossip(MAX_PIGGYBACKED_UPDATES);
         MembershipAction::Send(to, Box::new(datagram))
     }
 
@@ -388,12 +402,12 @@
             gossip: self.config.gossip,
             peer: self.config.peer,
             incarnation: self.incarnation,
-            state: if self.left { MemberState::Left } else { MemberState::Alive },
+            state: if self.has_left { MemberState::Left } else { MemberState::Alive },
         }
     }
 
-    /// The same for two VMs that know the same, their own words included.
+    /// Digest of all live members, including this VM; equal for VMs with the same view.
     fn members_digest(&self) -> u64 {
-        self.members.digest() ^ members::word_hash(&self.own_update())
+        self.members.digest() ^ members::update_hash(&self.own_update())
     }
 }
--- a/crates/sillbank_membership/src/members.rs
+++ b/crates/sillbank_membership/src/members.rs
@@ -1,4 +1,4 @@
-//! The table of other VMs, and the words about them that still travel.
+//! The table of other VMs, and the updates about them that are still being gossiped.
 
 use sillbank_core::hash::hash_u64;
 use sillbank_core::prelude::*;
@@ -7,22 +7,22 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long the dead and gone are remembered, so that old words do not bring them back.
-const REMEMBER: Duration = Duration::from_secs(600);
+/// How long VMs that died or left are remembered, so that old updates do not bring them back.
+const DEAD_RETENTION: Duration = Duration::from_secs(600);
 
 /// One other VM.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Newest word about it.
+    /// Newest update about it.
     pub update: MemberUpdate,
-    /// When its state last changed here.
+    /// When its state last changed in this table.
     pub since: Instant,
-    /// How often the newest word is still to be passed on.
-    spreads_left: u32,
+    /// How many more times the newest update is gossiped.
+    transmissions_left: u32,
 }
 
 impl Member {
-    /// Whether it may answer.
+    /// Whether it is alive or only suspected.
     pub fn is_live(&self) -> bool {
         matches!(self.update.state, MemberState::Alive | MemberState::Suspect)
     }
@@ -36,14 +36,14 @@
     digest: u64,
 }
 
-/// Hash of a word, for digests.
-pub(crate) fn word_hash(update: &MemberUpdate) -> u64 {
-    // A suspicion passes by itself: only what lasts is part of a digest.
-    let lasting = match update.state {
+/// Hash of an update, for digests.
+pub(crate) fn update_hash(update: &MemberUpdate) -> u64 {
+    // Suspicions resolve by themselves, so they are not part of the digest.
+    let lasting_state = match update.state {
         MemberState::Alive | MemberState::Suspect => "live",
         MemberState::Dead | MemberState::Left => return 0,
     };
-    hash_u64(&[&update.vm, &update.hall, lasting, &update.incarnation.to_string()])
+    hash_u64(&[&update.vm, &update.hall, lasting_state, &update.incarnation.to_string()])
 }
 
 impl Members {
@@ -52,17 +52,17 @@
         self.members.get(vm)
     }
 
-    /// All of them, the dead too.
+    /// All VMs, including dead ones.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Those of a hall that may answer.
+    /// Live VMs of a hall.
     pub fn live_in<'a>(&'a self, hall: &'a str) -> impl Iterator<Item = &'a Member> {
         self.members.values().filter(move |m| m.is_live() && m.update.hall == hall)
     }
 
-    /// Those of other halls that may answer.
+    /// Live VMs of other halls.
     pub fn live_outside<'a>(&'a self, hall: &'a str) -> impl Iterator<Item = &'a Member> {
         self.members.values().filter(move |m| m.is_live() && m.update.hall != hall)
     }
@@ -71,23 +71,23 @@
         self.digest
     }
 
-    /// Takes a word if it is newer than what is known. Returns whether it was.
-    pub(crate) fn take(&mut self, now: Instant, update: &MemberUpdate) -> bool {
-        let rank = |u: &MemberUpdate| (u.incarnation, u.state);
+    /// Applies an update if it is newer than what is known. Returns whether it was.
+    pub(crate) fn apply(&mut self, now: Instant, update: &MemberUpdate) -> bool {
+        let precedence = |u: &MemberUpdate| (u.incarnation, u.state);
         if let Some(known) = self.members.get(&update.vm)
-            && rank(update) <= rank(&known.update)
+            && precedence(update) <= precedence(&known.update)
         {
             return false;
         }
-        let unknown = !self.members.contains_key(&update.vm);
-        if unknown && matches!(update.state, MemberState::Dead | MemberState::Left) {
+        let is_unknown = !self.members.contains_key(&update.vm);
+        if is_unknown && matches!(update.state, MemberState::Dead | MemberState::Left) {
             return false;
         }
         self.put(now, update.clone());
         true
     }
 
-    /// Suspects a VM that did not answer.
+    /// Marks a VM that did not answer as suspected.
     pub(crate) fn suspect(&mut self, now: Instant, vm: &str) {
         let Some(member) = self.members.get(vm).filter(|m| m.update.state == MemberState::Alive)
         else {
@@ -97,22 +97,22 @@
         self.put(now, update);
     }
 
-    /// Holds those for dead that were suspected for too long.
-    pub(crate) fn bury(&mut self, now: Instant, suspicion: Duration) {
-        let late = |m: &&Member| {
+    /// Declares VMs dead that have been suspected for `suspicion_time`.
+    pub(crate) fn expire_suspicions(&mut self, now: Instant, suspicion_time: Duration) {
+        let is_expired = |m: &&Member| {
             m.update.state == MemberState::Suspect
-                && now.saturating_duration_since(m.since) >= suspicion
+                && now.saturating_duration_since(m.since) >= suspicion_time
         };
         let dead: Vec<MemberUpdate> = self
             .members
             .values()
-            .filter(late)
+            .filter(is_expired)
             .map(|m| MemberUpdate { state: MemberState::Dead, ..m.update.clone() })
             .collect();
         dead.into_iter().for_each(|update| self.put(now, update));
     }
 
-    /// Gives every suspected VM its whole time again.
+    /// Restarts the suspicion time of every suspected VM.
     pub(crate) fn renew_suspicions(&mut self, now: Instant) {
         for member in self.members.values_mut() {
             if member.update.state == MemberState::Suspect {
@@ -121,13 +121,14 @@
         }
     }
 
-    /// Forgets those that are dead or gone for long.
-    pub(crate) fn forget_old(&mut self, now: Instant) {
+    /// Removes VMs that died or left longer ago than the retention.
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
         self.members
-            .retain(|_, m| m.is_live() || now.saturating_duration_since(m.since) < REMEMBER);
+            .retain(|_, m| m.is_live() || now.saturating_duration_since(m.since) < DEAD_RETENTION);
     }
 
-    /// The next VM of a hall to ping: each once in a random order before any again.
+    /// The next VM of a hall to probe. Every VM is probed once, in random order, before any is
+    /// again.
     pub(crate) fn next_to_probe(
         &mut self,
         hall: &str,
@@ -146,29 +147,30 @@
         None
     }
 
-    /// The words that have been passed on least, up to a number.
-    pub(crate) fn words_to_spread(&mut self, most: usize) -> Vec<MemberUpdate> {
-        let mut fresh: Vec<&mut Member> =
-            self.members.values_mut().filter(|m| m.spreads_left > 0).collect();
-        fresh.sort_by_key(|m| std::cmp::Reverse(m.spreads_left));
-        fresh.truncate(most);
-        fresh
+    /// Takes the updates to gossip next, at most `limit`, those gossiped least first.
+    pub(crate) fn updates_to_gossip(&mut self, limit: usize) -> Vec<MemberUpdate> {
+        let mut pending: Vec<&mut Member> =
+            self.members.values_mut().filter(|m| m.transmissions_left > 0).collect();
+        pending.sort_by_key(|m| std::cmp::Reverse(m.transmissions_left));
+        pending.truncate(limit);
+        pending
             .into_iter()
             .map(|member| {
-                member.spreads_left -= 1;
+                member.transmissions_left -= 1;
                 member.update.clone()
             })
             .collect()
     }
 
     fn put(&mut self, now: Instant, update: MemberUpdate) {
-        // A word is passed on a few times the logarithm of the number of VMs.
-        let spreads_left = 3 * (self.members.len() + 2).ilog2() + 3;
-        self.digest ^= word_hash(&update);
-        let old =
-            self.members.insert(update.vm.clone(), Member { update, since: now, spreads_left });
+        // An update reaches all VMs in O(log n) gossip rounds.
+        let transmissions_left = 3 * (self.members.len() + 2).ilog2() + 3;
+        self.digest ^= update_hash(&update);
+        let old = self
+            .members
+            .insert(update.vm.clone(), Member { update, since: now, transmissions_left });
         if let Some(old) = old {
-            self.digest ^= word_hash(&old.update);
+            self.digest ^= update_hash(&old.update);
         }
     }
 }
--- a/crates/sillbank_membership/tests/gossip.rs
+++ b/crates/sillbank_membership/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! VMs learn of each other, find the dead, believe the living, and are not fooled by old words.
+//! Gossip: VMs discover each other, detect dead VMs, and ignore outdated or replayed updates.
 
 use arbitrary::Unstructured;
 use sillbank_core::prelude::*;
@@ -28,7 +28,7 @@
     Membership::new(config, number as u64 + 1)
 }
 
-/// VMs and the datagrams on their way between them.
+/// VMs and the datagrams in flight between them.
 struct Network {
     vms: Vec<Membership>,
     running: Vec<bool>,
@@ -51,7 +51,7 @@
         }
     }
 
-    fn post(&mut self, actions: Vec<MembershipAction>) {
+    fn enqueue(&mut self, actions: Vec<MembershipAction>) {
         for action in actions {
             if let MembershipAction::Send(to, datagram) = action {
                 let number = usize::from(to.port()) - 1000;
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Delivers all that is on its way; `lost` says which datagrams vanish.
+    /// Delivers all datagrams in flight; `lost` decides which are dropped.
     fn deliver(&mut self, mut lost: impl FnMut() -> bool) {
         while let Some((to, datagram)) = self.queue.pop_front() {
             if self.running[to] && !lost() {
                 let actions = self.vms[to].on_datagram(self.now, datagram, Summary::default());
-                self.post(actions);
+                self.enqueue(actions);
             }
         }
     }
@@ -76,7 +76,7 @@
         for number in 0..self.vms.len() {
             if self.running[number] {
                 let actions = self.vms[number].on_tick(self.now, Summary::default());
-                self.post(actions);
+                self.enqueue(actions);
                 self.deliver(&mut lost);
             }
         }
@@ -98,8 +98,9 @@
     }
 }
 
+/// Starting from the seeds, every VM learns of all VMs in all halls.
 #[test]
-fn everybody_learns_of_everybody_in_all_halls() {
+fn all_vms_discover_each_other_across_halls() {
     let mut network = Network::new(24, 3);
 
     network.rounds(30);
@@ -107,8 +108,9 @@
     assert!(network.all_alive());
 }
 
+/// A killed VM is detected by its own hall, and the other halls learn of it by gossip.
 #[test]
-fn a_killed_vm_is_found_dead_by_its_hall_and_told_to_the_others() {
+fn killed_vm_is_declared_dead_in_all_halls() {
     let mut network = Network::new(12, 2);
     network.rounds(20);
     network.running[4] = false;
@@ -120,11 +122,13 @@
     }
 }
 
+/// A VM that resumes after a pause refutes its death, and does not suspect VMs whose answers it
+/// missed.
 #[test]
-fn a_frozen_vm_that_wakes_refutes_and_believes_nothing_bad_of_the_others() {
+fn frozen_vm_refutes_its_death_and_suspects_nobody() {
     let mut network = Network::new(10, 1);
     network.rounds(20);
-    // It freezes in the middle of a probe whose answers it never takes.
+    // It freezes in the middle of a probe and never receives the answers.
     for _ in 0..2 {
         network.now += INTERVAL;
         let unsent = network.vms[3].on_tick(network.now, Summary::default());
@@ -136,7 +140,7 @@
 
     network.running[3] = true;
     let actions = network.vms[3].on_tick(network.now, Summary::default());
-    network.post(actions);
+    network.enqueue(actions);
     let suspected = network.vms[3].members().all().any(|m| m.update.state != MemberState::Alive);
     network.rounds(20);
 
@@ -144,14 +148,15 @@
     assert!(network.all_alive());
 }
 
+/// A VM that announces that it leaves is marked as left instead of suspected.
 #[test]
-fn a_vm_that_leaves_is_not_suspected_but_gone() {
+fn leaving_vm_is_marked_as_left() {
     let mut network = Network::new(8, 1);
     network.rounds(15);
 
     let actions = network.vms[2].leave(Summary::default());
     network.running[2] = false;
-    network.post(actions);
+    network.enqueue(actions);
     network.rounds(10);
 
     for number in (0..8).filter(|n| *n != 2) {
@@ -159,8 +164,9 @@
     }
 }
 
+/// A new process with a higher incarnation replaces a dead one of the same name.
 #[test]
-fn a_replaced_vm_of_the_same_name_is_alive_again() {
+fn replaced_vm_of_same_name_is_alive() {
     let mut network = Network::new(8, 1);
     network.rounds(15);
     network.running[5] = false;
@@ -173,8 +179,9 @@
     assert!(network.all_alive());
 }
 
+/// VMs of a hall that is unreachable as a whole stay alive in the view of other halls.
 #[test]
-fn a_lost_hall_is_not_judged_from_afar() {
+fn unreachable_hall_is_not_suspected_by_other_halls() {
     let mut network = Network::new(12, 2);
     network.rounds(20);
     (0..12).filter(|n| n % 2 == 1).for_each(|n| network.running[n] = false);
@@ -184,8 +191,9 @@
     assert_eq!(network.state(0, 1), Some(MemberState::Alive));
 }
 
+/// Replayed datagrams neither bring a dead VM back nor make a live one appear dead.
 #[test]
-fn replayed_datagrams_bring_nobody_back_and_kill_nobody() {
+fn replayed_datagrams_have_no_effect() {
     for_fixed_seeds(20, 4000, |u: &mut Unstructured<'_>| {
         let mut network = Network::new(6, 1);
         network.rounds(12);
@@ -199,7 +207,7 @@
                 continue;
             }
             let actions = network.vms[to].on_datagram(network.now, datagram, Summary::default());
-            assert_eq!(actions, Vec::new(), "a replay is not heard at all");
+            assert_eq!(actions, Vec::new(), "a replay is ignored");
         }
         network.rounds(3);
 
@@ -213,8 +221,9 @@
     });
 }
 
+/// False suspicions caused by lost datagrams are refuted once datagrams arrive again.
 #[test]
-fn with_some_datagrams_lost_the_living_are_alive_in_the_end() {
+fn live_vms_are_alive_after_packet_loss() {
     for_fixed_seeds(20, 20_000, |u: &mut Unstructured<'_>| {
         let mut network = Network::new(9, 3);
         for _ in 0..60 {
@@ -233,28 +242,31 @@
     });
 }
 
+/// A dead VM is removed after the retention, and an old update that it is dead does not add it
+/// again.
 #[test]
-fn the_dead_are_forgotten_in_the_end_and_old_words_do_not_bring_them_back() {
+fn expired_dead_vm_is_not_brought_back_by_old_update() {
     let mut network = Network::new(4, 1);
     network.rounds(12);
     network.running[3] = false;
     network.rounds(12);
-    let word = network.vms[1].members().get("vm3").expect("known").update.clone();
+    let old_update = network.vms[1].members().get("vm3").expect("known").update.clone();
     network.now += Duration::from_secs(700);
     network.rounds(2);
     assert_eq!(network.state(0, 3), None);
 
     let last = network.history.iter().rev().find(|(to, d)| *to == 0 && d.from.vm == "vm1");
-    let (_, mut datagram) = last.expect("vm1 spoke to vm0").clone();
+    let (_, mut datagram) = last.expect("vm1 sent to vm0").clone();
     datagram.sequence += 1_000;
-    datagram.updates = vec![word];
+    datagram.updates = vec![old_update];
     network.vms[0].on_datagram(network.now, datagram, Summary::default());
 
     assert_eq!(network.state(0, 3), None);
 }
 
+/// VMs with the same view agree on which of them are chosen for a task.
 #[test]
-fn every_vm_of_a_hall_names_the_same_watchers() {
+fn hall_chooses_exactly_the_requested_number_of_vms() {
     let mut network = Network::new(20, 2);
     network.rounds(30);
 
@@ -264,8 +276,9 @@
     assert_eq!(chosen.len(), 2);
 }
 
+/// In a large hall every datagram fits the size limit and is read back unchanged.
 #[test]
-fn a_datagram_fits_its_limit_with_the_most_it_may_hold() {
+fn datagrams_fit_the_size_limit() {
     use sillbank_protocol::gossip::{MAX_DATAGRAM_BYTES, SealKey, open_datagram, seal_datagram};
     let mut network = Network::new(40, 1);
     network.rounds(30);
@@ -278,6 +291,7 @@
     }
 }
 
+/// A datagram that was changed or cut, or that is sealed with a key no longer in use, is refused.
 #[test]
 fn forged_truncated_and_old_key_datagrams_are_refused() {
     use sillbank_protocol::gossip::{SealKey, open_datagram, seal_datagram};
@@ -288,7 +302,7 @@
     let (old, new) = (SealKey::from_text("old key"), SealKey::from_text("new key"));
     let sealed = seal_datagram(&datagram, &old).expect("it fits");
 
-    // While the key is changed both are accepted; afterwards the old one is not.
+    // During a key change both keys are accepted; afterwards the old one is not.
     assert_eq!(open_datagram(&sealed, &[new.clone(), old]), Ok(datagram));
     assert_eq!(open_datagram(&sealed, std::slice::from_ref(&new)), Err(DecodeError::Forged));
     for_fixed_seeds(200, 64, |u| {
@@ -303,8 +317,9 @@
     });
 }
 
+/// A VM that is not among the seeds is added when it sends a datagram.
 #[test]
-fn names_are_not_needed_to_be_known_before_they_speak() {
+fn unknown_vm_is_added_on_its_first_datagram() {
     let mut network = Network::new(3, 1);
     let stranger: VmId = "vm2".to_owned();
 
@@ -313,15 +328,16 @@
     assert!(network.vms[0].members().get(&stranger).is_some());
 }
 
+/// Datagrams that arrive out of order are accepted; a second copy of one is not.
 #[test]
-fn datagrams_that_overtake_each_other_are_both_heard() {
+fn out_of_order_datagrams_are_both_accepted() {
     let mut network = Network::new(2, 1);
     network.rounds(3);
-    let to_first = network.vms[1].spread_news(Summary { complete: 7, ..Summary::default() });
-    let after = network.vms[1].spread_news(Summary { complete: 8, ..Summary::default() });
+    let to_first = network.vms[1].broadcast_news(Summary { complete: 7, ..Summary::default() });
+    let after = network.vms[1].broadcast_news(Summary { complete: 8, ..Summary::default() });
     let datagram = |actions: &[MembershipAction]| match &actions[0] {
         MembershipAction::Send(_, datagram) => (**datagram).clone(),
-        MembershipAction::Heard { .. } => unreachable!("news are sent"),
+        MembershipAction::Heard { .. } => unreachable!("a broadcast only sends"),
     };
 
     let second = network.vms[0].on_datagram(network.now, datagram(&after), Summary::default());
@@ -329,6 +345,6 @@
     let again = network.vms[0].on_datagram(network.now, datagram(&to_first), Summary::default());
 
     assert!(!second.is_empty());
-    assert!(!first.is_empty(), "it was only overtaken");
+    assert!(!first.is_empty(), "it only arrived out of order");
     assert!(again.is_empty(), "it is a replay");
 }
