--- a/crates/sillbank_catalog/src/catalog.rs
+++ b/crates/sillbank_catalog/src/catalog.rs
@@ -1,4 +1,4 @@
-//! A whole configuration, checked and indexed for look-ups on the request path.
+//! A complete configuration, validated and indexed for look-ups on the request path.
 
 use crate::route::Route;
 use crate::service::{CallerLimits, Organisation, Service};
@@ -10,14 +10,14 @@
 /// Version of a configuration; a later one is greater.
 pub type CatalogVersion = u64;
 
-/// What a catalog is made of.
+/// The unindexed content of a catalog.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogParts {
-    /// Version.
+    /// Version of the configuration.
     pub version: CatalogVersion,
-    /// Routes.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// Services.
+    /// All services.
     pub services: Vec<Service>,
     /// Organisations; `None` if callers need no keys.
     pub organisations: Option<Vec<Organisation>>,
@@ -25,24 +25,24 @@
     pub limits: CallerLimits,
 }
 
-/// Why a configuration is not taken.
+/// Why a configuration is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CatalogError {
-    /// A route without services.
+    /// A route names no service.
     #[error("route '{0}' names no service; give it at least one")]
     NoTarget(String),
-    /// A prefix that is not a whole path segment.
+    /// A prefix does not consist of whole path segments.
     #[error("the prefix of route '{0}' must begin and end with a slash")]
     BadPrefix(String),
-    /// Two routes take the same paths.
+    /// Two routes have the same host and prefix.
     #[error("routes '{0}' and '{1}' have the same host and prefix; drop one")]
     SamePrefix(String, String),
 }
 
-/// Routes of one host by their prefix.
+/// Routes of one host by prefix.
 type HostRoutes = HashMap<String, Rc<Route>>;
 
-/// A configuration with its indices.
+/// A validated configuration with its indices.
 #[derive(Debug)]
 pub struct Catalog {
     version: CatalogVersion,
@@ -53,10 +53,10 @@
 }
 
 impl Catalog {
-    /// Checks and indexes a configuration.
+    /// Validates and indexes a configuration.
     ///
     /// # Errors
-    /// The first fault found; the configuration before it stays in force.
+    /// Returns the first fault found; the caller keeps using the previous configuration.
     pub fn new(parts: CatalogParts) -> Result<Self, CatalogError> {
         let mut hosts: HashMap<String, HostRoutes> = HashMap::new();
         for route in parts.routes {
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Version.
+    /// Version of the configuration.
     pub fn version(&self) -> CatalogVersion {
         self.version
     }
@@ -87,9 +87,9 @@
         self.limits
     }
 
-    /// The route with the longest prefix of the path.
+    /// The route of a host with the longest prefix of the path.
     ///
-    /// A host may carry a port, which is left out.
+    /// A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let routes = self.hosts.get(&host_name(host))?;
         let mut end = path.len();
@@ -102,17 +102,17 @@
         None
     }
 
-    /// A service.
+    /// A service by name.
     pub fn service(&self, name: &str) -> Option<Rc<Service>> {
         self.services.get(name).cloned()
     }
 
-    /// All services, in no order.
+    /// All services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Rc<Service>> {
         self.services.values()
     }
 
-    /// Whether requests of routes that are not public need a key.
+    /// Whether requests to routes that are not public need a key.
     pub fn needs_keys(&self) -> bool {
         self.keys.is_some()
     }
--- a/crates/sillbank_catalog/src/lib.rs
+++ b/crates/sillbank_catalog/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the operator's newest configuration allows: routes, services, organisations and their keys.
+//! The operator's configuration: routes, services, organisations and their keys.
 //!
-//! A [`Catalog`] is immutable; a newer one replaces it whole. [`KnowledgeLease`] says for how long
-//! a catalog may be believed without hearing from the store again.
+//! A [`Catalog`] is immutable and is replaced as a whole by a newer one. [`CatalogLease`] limits
+//! how long a catalog may be used without being confirmed by the store.
 //!
 //! Pure: no sockets, no clock, no threads.
 
@@ -13,15 +13,15 @@
 mod service;
 
 pub use catalog::{Catalog, CatalogError, CatalogParts, CatalogVersion};
-pub use freshness::KnowledgeLease;
-pub use route::{Repeat, Route, RouteName, StreamRules, Target, WorkKind};
+pub use freshness::CatalogLease;
+pub use route::{Idempotency, Route, RouteName, StreamRules, Target, WorkKind};
 pub use service::{AcceleratorFigures, CallerLimits, EngineFigures, Organisation, Service};
 
-/// The few types most users need.
+/// The types that most users need.
 pub mod prelude {
     pub use crate::{
-        AcceleratorFigures, CallerLimits, Catalog, CatalogError, CatalogParts, CatalogVersion,
-        EngineFigures, KnowledgeLease, Organisation, Repeat, Route, RouteName, Service,
+        AcceleratorFigures, CallerLimits, Catalog, CatalogError, CatalogLease, CatalogParts,
+        CatalogVersion, EngineFigures, Idempotency, Organisation, Route, RouteName, Service,
         StreamRules, Target, WorkKind,
     };
 }
--- a/crates/sillbank_catalog/src/route.rs
+++ b/crates/sillbank_catalog/src/route.rs
@@ -1,4 +1,4 @@
-//! One route: which requests it takes, where they go and how they may be handled.
+//! Routes: which requests they match, where these go and how they may be handled.
 
 use serde::{Deserialize, Serialize};
 use sillbank_core::prelude::ServiceId;
@@ -9,80 +9,80 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum Idempotency {
     /// It may.
-    Safe,
-    /// It may run once at most.
-    Never,
+    Idempotent,
+    /// It may run at most once.
+    NonIdempotent,
 }
 
-/// How streams of a route may be handled.
+/// How the streams of a route may be handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamRules {
-    /// Whether a broken stream may go on at another endpoint after its last whole event.
+    /// Whether a broken stream may resume at another endpoint after its last complete event.
     pub resumable: bool,
-    /// Longest pause between events that still counts as in time.
+    /// Objective for the longest pause between events.
     pub gap_objective: Option<Duration>,
 }
 
-/// What kind of work a request is.
+/// The kind of work that a request is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkKind {
-    /// One answer.
-    Call(Repeat),
+    /// A call with a single answer.
+    Call(Idempotency),
     /// A stream of events.
     Stream(StreamRules),
 }
 
 impl WorkKind {
     /// Whether the work may run more than once.
-    pub fn repeat(self) -> Repeat {
+    pub fn idempotency(self) -> Idempotency {
         match self {
-            Self::Call(repeat) => repeat,
-            Self::Stream(rules) if rules.resumable => Repeat::Safe,
-            Self::Stream(_) => Repeat::Never,
+            Self::Call(idempotency) => idempotency,
+            Self::Stream(rules) if rules.resumable => Idempotency::Idempotent,
+            Self::Stream(_) => Idempotency::NonIdempotent,
         }
     }
 }
 
-/// A service that a route sends to, with its share.
+/// A service that a route sends requests to, and its share of them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Service.
+    /// The service.
     pub service: ServiceId,
     /// Share, relative to the other targets of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub name: RouteName,
-    /// Host it answers for.
+    /// Host that requests must name.
     pub host: String,
-    /// Beginning of the paths it takes; begins and ends with a slash.
+    /// Prefix of the paths it matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// What kind of work its requests are.
+    /// Kind of work of its requests.
     pub kind: WorkKind,
-    /// Longest time a request is held.
+    /// Longest time that a request may take.
     pub timeout: Duration,
-    /// Time within which an answer is worth most; of a stream, its first event.
+    /// Latency objective for the answer, or for the first event of a stream.
     pub objective: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services, at least one.
+    /// Services that requests are sent to; at least one.
     pub targets: Vec<Target>,
-    /// Endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether it takes requests without a key.
+    /// Whether it accepts requests without a key.
     pub public: bool,
 }
 
 impl Route {
     /// Chooses a service by weight; `draw` is a random number from 0 to 1.
     ///
-    /// Targets of weight 0 are never chosen unless all are 0.
+    /// Targets of weight 0 are never chosen, unless all weights are 0.
     pub fn choose_service(&self, draw: f64) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         if total == 0 {
--- a/crates/sillbank_catalog/src/service.rs
+++ b/crates/sillbank_catalog/src/service.rs
@@ -1,13 +1,13 @@
-//! Services, the figures of their engines, organisations, and limits on callers.
+//! Services, the performance figures of their engines, organisations, and limits on callers.
 
 use serde::{Deserialize, Serialize};
 use sillbank_core::prelude::{AcceleratorKind, OrganisationId, ServiceId};
 use std::time::Duration;
 
-/// What the operator tells of one kind of accelerator.
+/// Performance figures that the operator states for one kind of accelerator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AcceleratorFigures {
-    /// Name.
+    /// Name of the accelerator kind.
     pub kind: AcceleratorKind,
     /// Memory for layers and KV cache, in megabytes.
     pub memory_mb: f64,
@@ -17,43 +17,42 @@
     pub prefill_factor: f64,
 }
 
-/// What the operator tells of a model and the engines that run it.
+/// Performance figures that the operator states for a model and the engines that run it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineFigures {
-    /// Requests at once.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u16,
     /// Memory of one layer, in megabytes.
     pub layer_mb: f64,
-    /// KV cache of one token over all layers, in bytes.
+    /// KV cache of one token across all layers, in bytes.
     pub kv_token_bytes: f64,
-    /// Time of one token step over all layers, in milliseconds.
+    /// Time of one token step across all layers, in milliseconds.
     pub step_ms: f64,
-    /// Time added to a step for each request in it, in milliseconds.
+    /// Time added to a step per request in it, in milliseconds.
     pub step_ms_per_request: f64,
-    /// Time added to a step for each thousand tokens of context of the requests in it, in milliseconds.
+    /// Time added to a step per thousand tokens of context of the requests in it, in milliseconds.
     pub step_ms_per_k_context: f64,
-    /// Token steps that an engine plays in one pass; an event holds the tokens of one pass.
+    /// Token steps that an engine runs in one pass; an event holds the tokens of one pass.
     pub steps_per_pass: u32,
-    /// Prompt tokens read in a second over all layers.
+    /// Prompt tokens prefilled per second across all layers.
     pub prefill_tokens_per_s: f64,
-    /// Time added to the reading of a prompt for each million pairs of a token and one before it, in
-    /// milliseconds.
+    /// Time added to a prefill per million pairs of a token and an earlier one, in milliseconds.
     pub prefill_ms_per_m_pairs: f64,
-    /// Most prompt tokens that are read beside one token step.
+    /// Maximum number of prompt tokens prefilled along with one token step.
     pub prefill_tokens_per_step: u32,
-    /// Usual tokens of a prompt.
+    /// Typical number of tokens of a prompt.
     pub usual_prompt_tokens: u32,
-    /// Usual tokens of an answer.
+    /// Typical number of tokens of an answer.
     pub usual_answer_tokens: u32,
     /// Time to load all layers, in milliseconds.
     pub load_ms: f64,
-    /// Loads that run at once without slowing each other.
+    /// Number of loads that run concurrently without slowing each other.
     pub loads_at_once: u32,
-    /// How old an engine's report is, in milliseconds.
+    /// Delay of an engine's reports, in milliseconds.
     pub report_lag_ms: f64,
-    /// Accelerator kinds.
+    /// Figures of each accelerator kind.
     pub accelerators: Vec<AcceleratorFigures>,
 }
 
@@ -63,8 +62,9 @@
         self.accelerators.iter().find(|figures| figures.kind == kind)
     }
 
-    /// Names of the figures of an engine's time that are missing or cannot be: 0, below 0, or no number.
-    pub fn unusable(&self) -> Vec<&'static str> {
+    /// Names of the figures for an engine's time that are missing or invalid: zero, negative or not
+    /// finite.
+    pub fn invalid_figures(&self) -> Vec<&'static str> {
         let is_positive = |value: f64| value > 0.0 && value.is_finite();
         let mut figures = vec![
             ("step_ms", self.step_ms),
@@ -87,45 +87,45 @@
     }
 }
 
-/// One service.
+/// A service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: ServiceId,
     /// Path of its health check.
     pub health_path: String,
-    /// Connections that one endpoint takes from all callers.
+    /// Maximum number of connections to one endpoint, over all callers.
     pub max_connections: u32,
-    /// Figures, if it runs a model whose layers are spread over endpoints.
+    /// Performance figures, if it runs a model whose layers are spread over endpoints.
     pub engine: Option<EngineFigures>,
 }
 
-/// One organisation.
+/// An organisation whose callers use the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Name.
+    /// Name of the organisation.
     pub name: OrganisationId,
-    /// Keys that its callers send.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's; 0 goes first.
+    /// Priority that overrides the route's; 0 is the highest.
     pub priority: Option<u8>,
 }
 
 /// Limits on what callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Longest head.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for a head, and longest pause within a body.
+    /// Time limit for a head, and for each pause within a body.
     pub head_timeout: Duration,
-    /// Time that a connection may rest between requests.
+    /// Time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Used until the first configuration is known: common defaults of HTTP servers.
+    /// Limits used until the first configuration is known: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             max_head_bytes: 16 << 10,
--- a/crates/sillbank_catalog/tests/catalog.rs
+++ b/crates/sillbank_catalog/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Look-ups in a catalog.
+//! Validation of catalogs and look-ups in them.
 
 use sillbank_catalog::prelude::*;
 use std::time::Duration;
@@ -8,7 +8,7 @@
         name: name.to_owned(),
         host: "Market.Example".to_owned(),
         path_prefix: prefix.to_owned(),
-        kind: WorkKind::Call(Repeat::Safe),
+        kind: WorkKind::Call(Idempotency::Idempotent),
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
         priority: 1,
@@ -33,8 +33,10 @@
     Catalog::new(parts).expect("it is valid")
 }
 
+/// The route with the longest prefix of whole path segments is chosen; host case and port are
+/// ignored.
 #[test]
-fn the_longest_prefix_wins() {
+fn longest_matching_prefix_wins() {
     let catalog = catalog(vec![
         route("short", "/a/", &[("s", 1)]),
         route("long", "/a/b/", &[("s", 1)]),
@@ -50,16 +52,18 @@
     assert!(catalog.route("other.example", "/a/b/c").is_none());
 }
 
+/// A known key yields its organisation, an unknown one yields none.
 #[test]
-fn a_key_names_its_organisation() {
+fn key_identifies_its_organisation() {
     let catalog = catalog(vec![]);
 
     assert_eq!(catalog.organisation("key-1").map(|o| o.name.clone()), Some("alpha".to_owned()));
     assert!(catalog.organisation("key-2").is_none());
 }
 
+/// A catalog with a route without service, a bad prefix or a duplicate prefix is rejected.
 #[test]
-fn faulty_routes_are_refused() {
+fn invalid_routes_are_rejected() {
     let parts = |routes| CatalogParts { routes, ..CatalogParts::default() };
 
     let no_target = Catalog::new(parts(vec![route("a", "/a/", &[])]));
@@ -72,8 +76,9 @@
     assert_eq!(same.err(), Some(CatalogError::SamePrefix("a".into(), "b".into())));
 }
 
+/// The random number selects a target in proportion to its weight; a weight of 0 is never selected.
 #[test]
-fn services_are_drawn_by_weight() {
+fn services_are_chosen_by_weight() {
     let split = route("a", "/a/", &[("x", 0), ("y", 3), ("z", 1)]);
     let service = |draw| split.choose_service(draw).cloned();
 
--- a/crates/sillbank_catalog/tests/figures.rs
+++ b/crates/sillbank_catalog/tests/figures.rs
@@ -1,4 +1,4 @@
-//! Which figures of engines cannot be used.
+//! Detection of missing and invalid engine figures.
 
 use sillbank_catalog::prelude::*;
 
@@ -30,13 +30,15 @@
     }
 }
 
+/// Figures that are all positive and finite yield no names.
 #[test]
-fn whole_figures_are_all_usable() {
-    assert!(figures().unusable().is_empty());
+fn complete_figures_are_valid() {
+    assert!(figures().invalid_figures().is_empty());
 }
 
+/// A figure that is invalid for several accelerators is named once.
 #[test]
-fn each_figure_that_is_missing_or_cannot_be_is_named_once() {
+fn each_missing_or_invalid_figure_is_named_once() {
     let mut figures = figures();
     figures.step_ms = f64::NAN;
     figures.prefill_tokens_per_s = -1.0;
@@ -46,7 +48,7 @@
         accelerator.prefill_factor = 0.0;
     }
 
-    let named = figures.unusable();
+    let named = figures.invalid_figures();
 
     let wanted = [
         "step_ms",
--- a/crates/sillbank_gateway/src/counted_store.rs
+++ b/crates/sillbank_gateway/src/counted_store.rs
@@ -89,7 +89,11 @@
         self.count("write_quarantine").write_quarantine(expected, record).await
     }
 
-    async fn write_lease(&self, name: &str, write: &LeaseWrite<Revision>) -> WriteOutcome<Revision> {
+    async fn write_lease(
+        &self,
+        name: &str,
+        write: &LeaseWrite<Revision>,
+    ) -> WriteOutcome<Revision> {
         self.count("write_lease").write_lease(name, write).await
     }
 }
--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -229,11 +229,12 @@
     /// Tells of figures of services' engines that forecasts have to do without.
     pub fn figures_unusable(&self, services: &[Service]) {
         for service in services {
-            let unusable = service.engine.as_ref().map(EngineFigures::unusable).unwrap_or_default();
-            if !unusable.is_empty() {
+            let invalid_figures =
+                service.engine.as_ref().map(EngineFigures::invalid_figures).unwrap_or_default();
+            if !invalid_figures.is_empty() {
                 tracing::warn!(
                     service = service.name,
-                    figures = unusable.join(","),
+                    figures = invalid_figures.join(","),
                     "catalog: Figures are missing or cannot be; forecasts do without them."
                 );
             }
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -87,7 +87,7 @@
 
     /// Whether it may run more than once.
     pub fn may_repeat(&self) -> bool {
-        self.route.kind.repeat() == Repeat::Safe
+        self.route.kind.idempotency() == Idempotency::Idempotent
     }
 
     /// Whether it may be sent once more by the route's limit and by the time that is left.
--- a/crates/sillbank_gateway/src/knowledge.rs
+++ b/crates/sillbank_gateway/src/knowledge.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Knowledge {
     catalog: RefCell<Option<Rc<Catalog>>>,
-    lease: RefCell<KnowledgeLease>,
+    lease: RefCell<CatalogLease>,
     directory: RefCell<Directory>,
     catalog_at: Cell<Revision>,
     /// The newest era of the store that was heard of.
@@ -65,7 +65,7 @@
     pub fn new(key_revocation: Duration) -> Self {
         Self {
             catalog: RefCell::default(),
-            lease: RefCell::new(KnowledgeLease::new(lease_term(key_revocation))),
+            lease: RefCell::new(CatalogLease::new(lease_term(key_revocation))),
             directory: RefCell::default(),
             catalog_at: Cell::new(Revision::NONE),
             era: Cell::new(None),
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -33,7 +33,7 @@
         name: "chat".to_owned(),
         host: "chat.example".to_owned(),
         path_prefix: "/".to_owned(),
-        kind: WorkKind::Call(Repeat::Safe),
+        kind: WorkKind::Call(Idempotency::Idempotent),
         timeout: Duration::from_secs(20),
         objective: OBJECTIVE,
         priority: 0,
