--- a/crates/sillbank_control/src/follow.rs
+++ b/crates/sillbank_control/src/follow.rs
@@ -73,7 +73,7 @@
 }
 
 async fn take_listing(control: &Rc<Control>, listing: Listing) {
-    control.follower.borrow_mut().on_platform(Instant::now());
+    control.follower.borrow_mut().on_platform_answer(Instant::now());
     let newest = listing.objects.last().map(|object| object.version);
     let taken = listing.objects.into_iter().filter(|o| control.store.take(o.clone())).count();
     // Versions are the whole store's: only those of settings count, so that writes of other
--- a/crates/sillbank_control/src/gossip.rs
+++ b/crates/sillbank_control/src/gossip.rs
@@ -91,8 +91,10 @@
                     let objects = control.store.objects();
                     (objects.complete().unwrap_or(0), objects.digest())
                 };
-                let wanted =
-                    control.follower.borrow_mut().on_peer(now, peer, &summary, complete, digest);
+                let wanted = control
+                    .follower
+                    .borrow_mut()
+                    .on_peer_summary(now, peer, &summary, complete, digest);
                 match wanted {
                     Some(FollowAction::Pull { peer, after }) => {
                         let pull = peers::pull(control.clone(), peer, after);
--- a/crates/sillbank_control/src/peers.rs
+++ b/crates/sillbank_control/src/peers.rs
@@ -65,7 +65,7 @@
     while let Some(FollowAction::Pull { peer, after }) = next {
         pull_once(&control, peer, after).await;
         let complete = control.store.objects().complete().unwrap_or(0);
-        next = control.follower.borrow_mut().on_pulled(complete);
+        next = control.follower.borrow_mut().on_pull_end(complete);
     }
     settle_from_peers(&control);
 }
--- a/crates/sillbank_control/src/store.rs
+++ b/crates/sillbank_control/src/store.rs
@@ -22,7 +22,7 @@
     pub(crate) fn take(&self, object: Object) -> bool {
         let (key, version, deleted) = (object.key.clone(), object.version, object.deleted);
         let value = object.value.clone();
-        if !self.objects.borrow_mut().take(object) {
+        if !self.objects.borrow_mut().apply(object) {
             return false;
         }
         let taken = self.tree.borrow_mut().take(&key, version, deleted, &value);
--- a/crates/sillbank_spread/src/follow.rs
+++ b/crates/sillbank_spread/src/follow.rs
@@ -1,46 +1,48 @@
-//! Where one VM takes its settings from: the platform if it is chosen to watch it or if nobody
-//! else seems to, else peers that hold newer ones.
+//! Decides where a VM takes its settings from: from the platform if the VM is chosen to watch it or
+//! if no other VM seems to, otherwise from peers that hold newer settings.
 
 use sillbank_protocol::gossip::Summary;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Without word from the platform, direct or through peers, for so long, a VM that was not
-/// chosen tries the platform itself.
-const ORPHANED: Duration = Duration::from_secs(8);
-/// Pause between pulls while digests differ at the same version.
-const REPAIR_PAUSE: Duration = Duration::from_secs(10);
+/// Time without an answer of the platform, direct or through peers, after which a VM that was not
+/// chosen watches the platform itself.
+const PLATFORM_SILENCE_LIMIT: Duration = Duration::from_secs(8);
+/// Minimum pause between full pulls while digests differ at the same version.
+const REPAIR_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What the driver has to do.
+/// An action for the caller of [`Follower`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FollowAction {
-    /// Ask a peer for what is newer than a version.
+    /// Request the objects newer than a version from a peer.
     Pull {
         /// The peer.
         peer: SocketAddr,
-        /// Version after which objects are wanted; 0 asks for all.
+        /// Version after which objects are requested; 0 requests all.
         after: u64,
     },
 }
 
-/// Decides from what is heard.
+/// Decides from the summaries of peers when to pull and when to watch the platform.
 #[derive(Debug, Default)]
 pub struct Follower {
-    platform_heard: Option<Instant>,
-    pulling: bool,
-    /// The greatest version heard of during a pull, and who holds it.
-    heard_meanwhile: Option<(u64, SocketAddr)>,
-    repaired_at: Option<Instant>,
+    /// When the platform is known to have answered last, here or at a peer.
+    platform_answered: Option<Instant>,
+    is_pulling: bool,
+    /// The greatest version reported during a pull, and the peer that holds it.
+    newest_during_pull: Option<(u64, SocketAddr)>,
+    last_repair: Option<Instant>,
 }
 
 impl Follower {
-    /// The platform answered this VM.
-    pub fn on_platform(&mut self, now: Instant) {
-        self.platform_heard = self.platform_heard.max(Some(now));
+    /// Records that the platform answered this VM.
+    pub fn on_platform_answer(&mut self, now: Instant) {
+        self.platform_answered = self.platform_answered.max(Some(now));
     }
 
-    /// A peer told what it holds; `complete` and `digest` are what this VM holds.
-    pub fn on_peer(
+    /// Handles a peer's summary of what it holds; `complete` and `digest` describe what this VM
+    /// holds.
+    pub fn on_peer_summary(
         &mut self,
         now: Instant,
         peer: SocketAddr,
@@ -49,13 +51,13 @@
         digest: u64,
     ) -> Option<FollowAction> {
         let age = Duration::from_millis(u64::from(theirs.platform_age_ms));
-        if let Some(heard) = now.checked_sub(age)
+        if let Some(answered) = now.checked_sub(age)
             && theirs.platform_age_ms < u32::MAX
         {
-            self.platform_heard = self.platform_heard.max(Some(heard));
+            self.platform_answered = self.platform_answered.max(Some(answered));
         }
-        if self.pulling {
-            self.heard_meanwhile = self.heard_meanwhile.max(Some((theirs.complete, peer)));
+        if self.is_pulling {
+            self.newest_during_pull = self.newest_during_pull.max(Some((theirs.complete, peer)));
             return None;
         }
         let after = match theirs.complete.cmp(&complete) {
@@ -63,36 +65,37 @@
             std::cmp::Ordering::Equal if theirs.digest != digest => self.repair(now)?,
             _ => return None,
         };
-        self.pulling = true;
+        self.is_pulling = true;
         Some(FollowAction::Pull { peer, after })
     }
 
-    /// A pull has ended, well or not; `complete` is what this VM holds now. Goes on at once if
-    /// something newer was heard of meanwhile.
-    pub fn on_pulled(&mut self, complete: u64) -> Option<FollowAction> {
-        let newer = self.heard_meanwhile.take().filter(|(version, _)| *version > complete);
-        self.pulling = newer.is_some();
+    /// Handles the end of a pull, successful or not; `complete` is the version that this VM holds
+    /// now. Starts the next pull at once if a peer reported something newer meanwhile.
+    pub fn on_pull_end(&mut self, complete: u64) -> Option<FollowAction> {
+        let newer = self.newest_during_pull.take().filter(|(version, _)| *version > complete);
+        self.is_pulling = newer.is_some();
         newer.map(|(_, peer)| FollowAction::Pull { peer, after: complete })
     }
 
-    /// Age of the last word from the platform, direct or through peers.
+    /// Time since the platform's last answer, direct or through peers.
     pub fn platform_age(&self, now: Instant) -> Option<Duration> {
-        self.platform_heard.map(|heard| now.saturating_duration_since(heard))
+        self.platform_answered.map(|answered| now.saturating_duration_since(answered))
     }
 
-    /// Whether this VM should ask the platform, given whether it was chosen to.
-    pub fn should_watch(&self, now: Instant, chosen: bool) -> bool {
-        chosen || self.platform_age(now).is_none_or(|age| age > ORPHANED)
+    /// Whether this VM should watch the platform, given whether it was chosen to.
+    pub fn should_watch(&self, now: Instant, is_chosen: bool) -> bool {
+        is_chosen || self.platform_age(now).is_none_or(|age| age > PLATFORM_SILENCE_LIMIT)
     }
 
-    /// Same version but other objects: one side has a gap; asks for everything, but seldom.
+    /// Handles a peer with the same version but other objects, so that one side has a gap. Returns
+    /// 0, to pull everything, at most once per [`REPAIR_INTERVAL`].
     fn repair(&mut self, now: Instant) -> Option<u64> {
-        let recent =
-            self.repaired_at.is_some_and(|at| now.saturating_duration_since(at) < REPAIR_PAUSE);
-        if recent {
+        let is_recent =
+            self.last_repair.is_some_and(|at| now.saturating_duration_since(at) < REPAIR_INTERVAL);
+        if is_recent {
             return None;
         }
-        self.repaired_at = Some(now);
+        self.last_repair = Some(now);
         Some(0)
     }
 }
--- a/crates/sillbank_spread/src/store.rs
+++ b/crates/sillbank_spread/src/store.rs
@@ -1,4 +1,4 @@
-//! Settings objects by key. Versions only rise; a deletion is a version too.
+//! Settings objects by key. Versions never decrease; a deletion is a version, too.
 
 use sillbank_core::hash::hash_u64;
 use sillbank_protocol::platform::{Object, Version};
@@ -14,13 +14,14 @@
 }
 
 impl ObjectStore {
-    /// Takes an object unless one as new is held. Returns whether it was taken.
-    pub fn take(&mut self, object: Object) -> bool {
-        if let Some(held) = self.objects.get(&object.key) {
-            if held.version >= object.version {
+    /// Stores an object unless the stored version is at least as new. Returns whether it was
+    /// stored.
+    pub fn apply(&mut self, object: Object) -> bool {
+        if let Some(stored) = self.objects.get(&object.key) {
+            if stored.version >= object.version {
                 return false;
             }
-            let (version, hash) = (held.version, object_hash(held));
+            let (version, hash) = (stored.version, object_hash(stored));
             self.by_version.remove(&version);
             self.digest ^= hash;
         }
@@ -30,22 +31,22 @@
         true
     }
 
-    /// Notes that every change up to a version is held.
+    /// Records that every change up to a version is stored.
     pub fn set_complete(&mut self, version: Version) {
         self.complete = self.complete.max(Some(version));
     }
 
-    /// Version up to which every change is held, once a listing came.
+    /// Version up to which every change is stored; `None` before the first listing.
     pub fn complete(&self) -> Option<Version> {
         self.complete
     }
 
-    /// Hash over all objects, the same for two stores that hold the same.
+    /// Hash over all objects, equal for stores with the same content.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Greatest version held.
+    /// Greatest version stored; 0 if there is none.
     pub fn newest(&self) -> Version {
         self.by_version.last_key_value().map_or(0, |(version, _)| *version)
     }
@@ -55,20 +56,20 @@
         self.objects.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no objects are stored.
     pub fn is_empty(&self) -> bool {
         self.objects.is_empty()
     }
 
-    /// An object, if it is held and not deleted.
+    /// An object, unless it is missing or deleted.
     pub fn get(&self, key: &str) -> Option<&Object> {
         self.objects.get(key).filter(|object| !object.deleted)
     }
 
-    /// All objects with a prefix that are not deleted, by key.
+    /// All objects whose keys have a prefix and that are not deleted, sorted by key.
     pub fn list(&self, prefix: &str) -> Vec<Object> {
-        let wanted = |object: &&Object| object.key.starts_with(prefix) && !object.deleted;
-        let mut found: Vec<Object> = self.objects.values().filter(wanted).cloned().collect();
+        let is_listed = |object: &&Object| object.key.starts_with(prefix) && !object.deleted;
+        let mut found: Vec<Object> = self.objects.values().filter(is_listed).cloned().collect();
         found.sort_by(|a, b| a.key.cmp(&b.key));
         found
     }
--- a/crates/sillbank_spread/tests/settling.rs
+++ b/crates/sillbank_spread/tests/settling.rs
@@ -1,22 +1,25 @@
-//! A VM serves what it pulled as soon as enough peers were heard, also after its only pull.
+//! A VM serves the settings it pulled once enough peers have sent a summary.
 
 use sillbank_spread::{PeerView, may_serve};
 
 const PULLED: PeerView = PeerView { heard: 2, known: 9, newest: Some(69), complete: Some(69) };
 
+/// Guards against never serving when the only pull ends before enough peers have sent a summary.
 #[test]
-fn a_pull_that_ends_before_enough_peers_were_heard_is_served_when_they_are() {
+fn early_pull_is_served_once_enough_peers_were_heard() {
     assert!(!may_serve(PULLED));
     assert!(may_serve(PeerView { heard: 3, ..PULLED }));
 }
 
+/// A VM serves neither before its first pull nor while a peer holds a newer version.
 #[test]
-fn a_vm_that_holds_nothing_or_less_than_a_peer_does_not_serve() {
+fn vm_with_no_or_older_settings_does_not_serve() {
     assert!(!may_serve(PeerView { heard: 9, complete: None, ..PULLED }));
     assert!(!may_serve(PeerView { heard: 9, complete: Some(68), ..PULLED }));
 }
 
+/// With fewer known VMs than the minimum, all of them suffice.
 #[test]
-fn a_hall_of_two_needs_no_third_to_be_heard() {
+fn two_known_vms_are_enough_in_a_hall_of_two() {
     assert!(may_serve(PeerView { heard: 2, known: 2, ..PULLED }));
 }
