--- a/crates/sillbank_control/src/orders.rs
+++ b/crates/sillbank_control/src/orders.rs
@@ -9,7 +9,7 @@
 use sillbank_lease::{Lease, LeaseState};
 use sillbank_net::client::request;
 use sillbank_net::prelude::*;
-use sillbank_orders::{EngineView, ORDER_FLIGHT, Pace, Report, next_order};
+use sillbank_orders::{EngineView, MAX_ORDER_TRANSIT, OrderRateLimiter, Report, next_order};
 use sillbank_protocol::engine::{EngineState, LoadOrder, ORDERS_PATH, STATE_PATH};
 use smol::Timer;
 use std::collections::HashMap;
@@ -41,7 +41,7 @@
     key: String,
     held_since: Option<Instant>,
     reports: HashMap<EndpointId, Report>,
-    pace: Pace,
+    pace: OrderRateLimiter,
     turn: usize,
 }
 
@@ -53,7 +53,7 @@
         key: format!("lease/orders-{}", control.settings.hall),
         held_since: None,
         reports: HashMap::new(),
-        pace: Pace::default(),
+        pace: OrderRateLimiter::default(),
         turn: 0,
         control,
     };
@@ -127,7 +127,7 @@
         };
         let address = engines.iter().find(|(other, _)| other.id == view.id).map(|(_, a)| a.clone());
         if let Some(address) = address {
-            self.pace.ordered(&view.pipeline, now);
+            self.pace.record_order(&view.pipeline, now);
             self.order(&view, &address).await;
         }
     }
@@ -140,7 +140,7 @@
             let view = EngineView {
                 id: id.clone(),
                 pipeline: endpoint.pipeline.clone(),
-                wanted: endpoint.layers,
+                assigned: endpoint.layers,
                 checks_fences: endpoint.checks_fences,
                 report: None,
             };
@@ -156,7 +156,7 @@
         // One that is about to change is asked each time, the others in turn.
         let changing = engines.iter().filter(|(view, _)| {
             let report = self.reports.get(&view.id);
-            report.is_some_and(|report| report.loading || report.layers != view.wanted)
+            report.is_some_and(|report| report.loading || report.layers != view.assigned)
         });
         let turn = self.turn;
         self.turn += ASKED_IN_A_LOOK;
@@ -193,7 +193,7 @@
         let Some(fence) = self.lease.fence(moment()) else {
             return;
         };
-        let order = LoadOrder { fence, layers: view.wanted };
+        let order = LoadOrder { fence, layers: view.assigned };
         let body = match serde_json::to_vec(&order) {
             Ok(body) => body,
             Err(error) => {
@@ -202,8 +202,8 @@
             }
         };
         let call = request(Method::POST, ORDERS_PATH, body.into());
-        let (first, end) = (view.wanted.first, view.wanted.end);
-        match self.control.http.call(address, call, ORDER_FLIGHT).await {
+        let (first, end) = (view.assigned.first, view.assigned.end);
+        match self.control.http.call(address, call, MAX_ORDER_TRANSIT).await {
             Ok(reply) if reply.status.is_success() => {
                 self.control.metrics.orders.inc();
                 tracing::info!("control: {} was told to load layers {first}..{end}.", view.id);
