--- a/crates/sillbank_control/src/once.rs
+++ b/crates/sillbank_control/src/once.rs
@@ -9,7 +9,7 @@
 use sillbank_lease::{Lease, LeaseState};
 use sillbank_net::prelude::*;
 use sillbank_once::key::is_hall_slot;
-use sillbank_once::{CallKey, Claim, ClaimAnswer, Slot, SlotId, Tenure, mint, slot_names};
+use sillbank_once::{CallKey, Claim, ClaimAnswer, Slot, SlotAcquisition, SlotId, mint, slot_names};
 use sillbank_protocol::peer::PeerRequest;
 use smol::Timer;
 use std::cell::RefCell;
@@ -99,10 +99,10 @@
         return false;
     };
     let slot = &watched.slot;
-    if watched.busy || slot.is_leaving() {
+    if watched.busy || slot.is_handing_over() {
         return false;
     }
-    let heir = slot.inherited_at().is_some_and(|at| now.since(at) < HEIR_PATIENCE);
+    let heir = slot.claims_received_at().is_some_and(|at| now.since(at) < HEIR_PATIENCE);
     if slot.lease.state() == LeaseState::Idle && !heir {
         if now.monotonic < watched.look_at {
             return false;
@@ -168,10 +168,12 @@
     watched.busy = false;
     let pause = (control.settings.once_term / 8).min(LONGEST_PAUSE);
     watched.look_at = Instant::now() + pause.mul_f64(0.5 + control.chance.fraction());
-    match watched.slot.settle(moment()) {
-        Some(Tenure::New) => tracing::info!("control: Slot {name} is held; it is new."),
-        Some(Tenure::HandedOver) => tracing::info!("control: Slot {name} was handed over."),
-        Some(Tenure::TakenOver) => {
+    match watched.slot.sync_claims(moment()) {
+        Some(SlotAcquisition::New) => tracing::info!("control: Slot {name} is held; it is new."),
+        Some(SlotAcquisition::HandedOver) => {
+            tracing::info!("control: Slot {name} was handed over.")
+        }
+        Some(SlotAcquisition::TakenOver) => {
             tracing::warn!("control: Slot {name} was taken over; older keys are refused for now.");
         }
         None => {}
@@ -189,7 +191,7 @@
     let mut slots = control.slots.slots.borrow_mut();
     match slots.get_mut(name) {
         Some(watched) => {
-            watched.slot.decide(moment(), uid, minted_ms, control.chance.number(), retention)
+            watched.slot.claim(moment(), uid, minted_ms, control.chance.number(), retention)
         }
         None => ClaimAnswer::NotHolder,
     }
@@ -204,7 +206,7 @@
 
 /// Claims a key for an entry of this VM.
 pub(crate) async fn claim(control: &Control, organisation: &str, text: &str) -> ClaimAnswer {
-    let key = CallKey::read(organisation, text, &control.keys);
+    let key = CallKey::parse(organisation, text, &control.keys);
     let here = decide(control, &key.slot, key.uid, key.minted_ms);
     if here != ClaimAnswer::NotHolder {
         return here;
@@ -236,7 +238,7 @@
     claim: u64,
     run: RunState,
 ) {
-    let key = CallKey::read(organisation, text, &control.keys);
+    let key = CallKey::parse(organisation, text, &control.keys);
     end_here(control, &key.slot, key.uid, claim, run);
     let peer = control.slots.holders.borrow().get(&key.slot).copied();
     if let Some(peer) = peer {
@@ -270,7 +272,7 @@
 /// Takes the claims that a leaving holder hands over; the lease is taken when it is free.
 pub(crate) fn inherit(control: &Control, name: String, claims: Vec<Claim>, complete_from_ms: u64) {
     if let Some(watched) = control.slots.slots.borrow_mut().get_mut(&name) {
-        watched.slot.inherit(moment(), claims, complete_from_ms);
+        watched.slot.receive_claims(moment(), claims, complete_from_ms);
         watched.look_at = Instant::now();
     }
 }
@@ -318,7 +320,7 @@
 
 /// Grants nothing more for a slot; answers its claims.
 fn freeze(control: &Control, name: &str) -> Option<(Vec<Claim>, u64)> {
-    control.slots.slots.borrow_mut().get_mut(name)?.slot.freeze()
+    control.slots.slots.borrow_mut().get_mut(name)?.slot.stop_granting()
 }
 
 /// Who gets a slot when this VM leaves.
--- a/crates/sillbank_once/src/slot.rs
+++ b/crates/sillbank_once/src/slot.rs
@@ -1,49 +1,50 @@
-//! One slot: its lease, and its claims while the lease is held.
+//! A slot: its lease, and its claims while the lease is held.
 
 use crate::claims::Claims;
 use sillbank_core::prelude::*;
-use sillbank_lease::{Candidate, Lease, Moment, Acquisition};
+use sillbank_lease::{Acquisition, Candidate, Lease, Moment};
 use sillbank_protocol::once::{Claim, ClaimAnswer};
 use std::time::Duration;
 
-/// How a slot came to be held.
+/// How a held slot was acquired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tenure {
-    /// There was never a holder: no key was ever claimed.
+pub enum SlotAcquisition {
+    /// There was never a holder, so no key was ever claimed.
     New,
-    /// The last holder handed its claims over.
+    /// The last holder handed over its claims.
     HandedOver,
-    /// The claims of the last holder are not known.
+    /// The claims of the last holder are unknown.
     TakenOver,
 }
 
-/// One slot as one VM sees it.
+/// A slot as seen by one VM.
 #[derive(Debug)]
 pub struct Slot {
     /// Its lease.
     pub lease: Lease,
     claims: Option<Claims>,
-    inherited: Option<(Claims, Moment)>,
-    /// Whether this process held it before: claims it had then are gone.
-    held_before: bool,
-    leaving: bool,
+    /// Claims that another holder handed over, and when; they count once the lease is held.
+    received: Option<(Claims, Moment)>,
+    /// Whether this process held the slot before. It no longer has the claims from then.
+    was_held: bool,
+    is_handing_over: bool,
 }
 
 impl Slot {
-    /// A slot nothing is known of.
+    /// Creates a slot of which nothing is known yet.
     pub fn new(candidate: Candidate) -> Self {
         Self {
             lease: Lease::new(candidate),
             claims: None,
-            inherited: None,
-            held_before: false,
-            leaving: false,
+            received: None,
+            was_held: false,
+            is_handing_over: false,
         }
     }
 
-    /// Makes the claims fit the lease: there are some just while it is held. Call it after every
-    /// change of the lease. Answers how the slot came to be held, if it just did.
-    pub fn settle(&mut self, now: Moment) -> Option<Tenure> {
+    /// Creates or drops the claims so that they exist only while the lease is held. Must be called
+    /// after every change of the lease. Returns how the slot was acquired, if it just was.
+    pub fn sync_claims(&mut self, now: Moment) -> Option<SlotAcquisition> {
         if self.lease.fence(now).is_none() {
             self.claims = None;
             return None;
@@ -51,67 +52,74 @@
         if self.claims.is_some() {
             return None;
         }
-        let origin = self.lease.acquisition();
-        let (claims, tenure) = match (origin, self.inherited.take()) {
-            (Some(Acquisition::Inherited), Some((claims, _))) => (claims, Tenure::HandedOver),
-            (Some(Acquisition::Fresh), _) if !self.held_before => (Claims::complete(), Tenure::New),
-            _ => (Claims::taken_over(now.wall_ms), Tenure::TakenOver),
+        let lease_acquisition = self.lease.acquisition();
+        let (claims, acquisition) = match (lease_acquisition, self.received.take()) {
+            (Some(Acquisition::Inherited), Some((claims, _))) => {
+                (claims, SlotAcquisition::HandedOver)
+            }
+            (Some(Acquisition::Fresh), _) if !self.was_held => {
+                (Claims::complete(), SlotAcquisition::New)
+            }
+            _ => (Claims::after_takeover(now.wall_ms), SlotAcquisition::TakenOver),
         };
         self.claims = Some(claims);
-        self.held_before = true;
-        Some(tenure)
+        self.was_held = true;
+        Some(acquisition)
     }
 
-    /// Decides a claim, if the slot is held.
-    pub fn decide(
+    /// Claims a key under the number `claim_id`, if the slot is held.
+    pub fn claim(
         &mut self,
         now: Moment,
         uid: RequestUid,
         minted_ms: Option<u64>,
-        draw: u64,
+        claim_id: u64,
         retention: Duration,
     ) -> ClaimAnswer {
-        let held = !self.leaving && self.lease.fence(now).is_some();
+        let may_grant = !self.is_handing_over && self.lease.fence(now).is_some();
         match &mut self.claims {
-            Some(claims) if held => claims.claim(now.wall_ms, uid, minted_ms, draw, retention),
+            Some(claims) if may_grant => {
+                claims.claim(now.wall_ms, uid, minted_ms, claim_id, retention)
+            }
             _ => ClaimAnswer::NotHolder,
         }
     }
 
-    /// A claimed call has ended.
-    pub fn end(&mut self, uid: RequestUid, claim: u64, run: RunState) {
+    /// Records the end of a claimed call.
+    pub fn end(&mut self, uid: RequestUid, claim_id: u64, run: RunState) {
         if let Some(claims) = &mut self.claims {
-            claims.end(uid, claim, run);
+            claims.end(uid, claim_id, run);
         }
     }
 
-    /// Takes the claims of a holder that leaves; they count once the lease is inherited.
-    pub fn inherit(&mut self, now: Moment, claims: Vec<Claim>, complete_from_ms: u64) {
-        self.inherited = Some((Claims::handed_over(claims, complete_from_ms), now));
+    /// Stores the claims of a holder that hands the slot over; they count once the lease is
+    /// inherited.
+    pub fn receive_claims(&mut self, now: Moment, claims: Vec<Claim>, complete_from_ms: u64) {
+        self.received = Some((Claims::from_handover(claims, complete_from_ms), now));
     }
 
-    /// When claims were handed over that wait for the lease.
-    pub fn inherited_at(&self) -> Option<Moment> {
-        self.inherited.as_ref().map(|(_, at)| *at)
+    /// When claims were received that wait for the lease; `None` if there are none.
+    pub fn claims_received_at(&self) -> Option<Moment> {
+        self.received.as_ref().map(|(_, at)| *at)
     }
 
-    /// Grants nothing more; answers all claims, to hand them over.
-    pub fn freeze(&mut self) -> Option<(Vec<Claim>, u64)> {
-        self.leaving = true;
-        self.claims.as_ref().map(Claims::all)
+    /// Grants no more claims; returns all claims, to hand them over.
+    pub fn stop_granting(&mut self) -> Option<(Vec<Claim>, u64)> {
+        self.is_handing_over = true;
+        self.claims.as_ref().map(Claims::export)
     }
 
     /// Whether the slot is being handed over.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_handing_over(&self) -> bool {
+        self.is_handing_over
     }
 
-    /// Number of keys kept.
+    /// Number of claimed keys.
     pub fn len(&self) -> usize {
         self.claims.as_ref().map_or(0, Claims::len)
     }
 
-    /// Whether no key is kept.
+    /// Whether no key is claimed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/sillbank_once/tests/holders.rs
+++ b/crates/sillbank_once/tests/holders.rs
@@ -1,5 +1,5 @@
-//! Over any race of holders, with writes lost or late, VMs frozen, and slots handed over, a key is
-//! granted at most once.
+//! A key is granted at most once, whatever writes are lost or late, VMs frozen, and slots handed
+//! over.
 
 use arbitrary::Unstructured;
 use sillbank_core::prelude::*;
@@ -19,10 +19,10 @@
     Candidate { vm: format!("vm{number}"), peer, term: TERM }
 }
 
-/// One VM: its slot, its write on the way, writes taken for lost, and until when it is frozen.
+/// One VM: its slot, its write in flight, writes given up as lost, and until when it is frozen.
 struct Vm {
     slot: Slot,
-    on_its_way: Option<LeaseWrite>,
+    in_flight: Option<LeaseWrite>,
     late: Vec<LeaseWrite>,
     frozen_until_ms: u64,
 }
@@ -33,7 +33,7 @@
     version: u64,
     object: Option<(u64, LeaseRecord)>,
     vms: Vec<Vm>,
-    /// First try of each key, and when it was minted.
+    /// Time of the first attempt with each key, and when the key was minted.
     keys: HashMap<u64, (u64, Option<u64>)>,
     granted: HashMap<u64, u32>,
     grants: usize,
@@ -43,7 +43,7 @@
     fn new() -> Self {
         let vm = |number| Vm {
             slot: Slot::new(candidate(number)),
-            on_its_way: None,
+            in_flight: None,
             late: Vec::new(),
             frozen_until_ms: 0,
         };
@@ -74,7 +74,7 @@
     }
 
     fn finish_write(&mut self, u: &mut Unstructured<'_>, number: usize) -> arbitrary::Result<()> {
-        let Some(write) = self.vms[number].on_its_way.take() else {
+        let Some(write) = self.vms[number].in_flight.take() else {
             return Ok(());
         };
         let end = match u.int_in_range(0..=5)? {
@@ -90,32 +90,32 @@
         };
         let now = self.now();
         self.vms[number].slot.lease.on_write_outcome(now, end);
-        self.vms[number].slot.settle(now);
+        self.vms[number].slot.sync_claims(now);
         Ok(())
     }
 
     fn work(&mut self, number: usize) {
         let (now, object, mark) = (self.now(), self.object.clone(), self.ms * 8 + number as u64);
         let vm = &mut self.vms[number];
-        vm.on_its_way = match vm.slot.lease.needs_read() {
+        vm.in_flight = match vm.slot.lease.needs_read() {
             true => vm.slot.lease.on_read(now, object, mark),
             false => vm.slot.lease.on_tick(now, mark),
         };
-        vm.slot.settle(now);
+        vm.slot.sync_claims(now);
     }
 
-    /// A planned stop: claims go to an heir, then the lease is freed; then the process begins anew.
+    /// A planned stop: hands claims to an heir, releases the lease, and restarts the process.
     fn hand_over(&mut self, u: &mut Unstructured<'_>, number: usize) -> arbitrary::Result<()> {
         let heir = (number + 1 + u.choose_index(VMS - 1)?) % VMS;
         let now = self.now();
-        let Some((claims, from)) = self.vms[number].slot.freeze() else {
+        let Some((claims, from)) = self.vms[number].slot.stop_granting() else {
             self.vms[number].slot = Slot::new(candidate(number));
-            self.vms[number].on_its_way = None;
+            self.vms[number].in_flight = None;
             return Ok(());
         };
         let reached = u.ratio(3, 4)?;
         if reached {
-            self.vms[heir].slot.inherit(now, claims, from);
+            self.vms[heir].slot.receive_claims(now, claims, from);
         }
         let named = reached.then(|| format!("vm{heir}"));
         let mark = self.ms * 8 + number as u64;
@@ -126,7 +126,7 @@
             }
         }
         self.vms[number].slot = Slot::new(candidate(number));
-        self.vms[number].on_its_way = None;
+        self.vms[number].in_flight = None;
         Ok(())
     }
 
@@ -135,14 +135,14 @@
         let key = u.int_in_range(0..=12)?;
         let minted = u.ratio(1, 2)?.then_some(now.wall_ms);
         let (first_ms, minted) = *self.keys.entry(key).or_insert((self.ms, minted));
-        // A caller does not try a key again after the retention; it is a new key then.
+        // A caller does not retry after the retention, so the number then stands for a new key.
         if self.ms - first_ms >= RETENTION.as_millis() as u64 {
             self.keys.remove(&key);
             self.granted.remove(&key);
             return Ok(());
         }
         let uid = RequestUid(key, first_ms);
-        let answer = self.vms[number].slot.decide(now, uid, minted, u.arbitrary()?, RETENTION);
+        let answer = self.vms[number].slot.claim(now, uid, minted, u.arbitrary()?, RETENTION);
         if matches!(answer, ClaimAnswer::Granted(_)) {
             let count = self.granted.entry(key).or_default();
             *count += 1;
@@ -169,12 +169,12 @@
             }
             1 => self.hand_over(u, number),
             2 => {
-                // Killed, and replaced by a new process of the same name.
+                // The process is killed and replaced by a new one of the same name.
                 self.vms[number].slot = Slot::new(candidate(number));
-                self.vms[number].on_its_way = None;
+                self.vms[number].in_flight = None;
                 Ok(())
             }
-            3..=30 if self.vms[number].on_its_way.is_some() => self.finish_write(u, number),
+            3..=30 if self.vms[number].in_flight.is_some() => self.finish_write(u, number),
             3..=30 => {
                 self.work(number);
                 Ok(())
@@ -184,8 +184,9 @@
     }
 }
 
+/// Three VMs race for one slot; over all holders of the slot, every key is granted at most once.
 #[test]
-fn no_key_is_granted_twice() {
+fn key_is_granted_at_most_once_across_holders() {
     let mut granted = 0;
     for_fixed_seeds(500, 6000, |u| {
         let mut world = World::new();
