--- a/crates/sillbank_lease/src/lib.rs
+++ b/crates/sillbank_lease/src/lib.rs
@@ -107,12 +107,12 @@
     pub term: Duration,
 }
 
-/// One lease as one VM sees it; `V` is the version of an object.
+/// A lease as seen by one VM; `V` is the version of an object.
 #[derive(Debug)]
 pub struct Lease<V = Version> {
     candidate: Candidate,
     state: LeaseState,
-    /// The version last read, its record, and when this version was first read.
+    /// The version last read or written, its record, and when it was first read or sent.
     observed: Option<(V, LeaseRecord, Moment)>,
     /// The write that is in flight or whose outcome is unknown.
     pending: Option<Pending>,
--- a/crates/sillbank_membership/src/lib.rs
+++ b/crates/sillbank_membership/src/lib.rs
@@ -52,7 +52,7 @@
     pub gossip: SocketAddr,
     /// Address at which it accepts connections of its peers.
     pub peer: SocketAddr,
-    /// Gossip addresses to contact while no other VM is known.
+    /// Gossip addresses of the first VMs to contact.
     pub seeds: Vec<SocketAddr>,
     /// Interval between probes.
     pub interval: Duration,
@@ -338,7 +338,7 @@
         actions.push(self.send(to, GossipMessage::Ping(number), summary));
     }
 
-    /// Requests all members from the seeds, while no VM of the hall is known.
+    /// Requests all members from the seeds, while there is no VM of the hall to probe.
     fn contact_seeds(&mut self, summary: Summary, actions: &mut Vec<MembershipAction>) {
         let own = self.config.gossip;
         let seeds: Vec<SocketAddr> =
