--- a/crates/sillbank_fleet/src/directory.rs
+++ b/crates/sillbank_fleet/src/directory.rs
@@ -285,7 +285,7 @@
 
     /// Evicts lapsed entries whose grace period is over; returns their ids. Requires a full read
     /// once the hold after a restore of the store has ended, if entries were held back.
-    pub fn on_time(&mut self, now: Instant) -> Vec<EndpointId> {
+    pub fn on_tick(&mut self, now: Instant) -> Vec<EndpointId> {
         if let Some(guard) = self.restored.take_if(|guard| guard.is_expired(now)) {
             self.rereads += u64::from(guard.has_held_back());
         }
--- a/crates/sillbank_fleet/tests/directory.rs
+++ b/crates/sillbank_fleet/tests/directory.rs
@@ -49,13 +49,13 @@
     directory.on_store_recovered(now);
 
     let removals = directory.on_listing(now, vec![]);
-    let early = directory.on_time(now + LAPSE_GRACE - Duration::from_millis(1));
+    let early = directory.on_tick(now + LAPSE_GRACE - Duration::from_millis(1));
 
     assert_eq!(removals, vec![("a".to_owned(), Removal::Lapsed)]);
     assert_eq!(early, Vec::<String>::new());
     assert!(directory.usable("a").is_some());
 
-    let late = directory.on_time(now + LAPSE_GRACE);
+    let late = directory.on_tick(now + LAPSE_GRACE);
 
     assert_eq!(late, vec!["a".to_owned()]);
     assert!(directory.usable("a").is_none());
@@ -73,7 +73,7 @@
 
     directory.on_store_recovered(now);
     let while_back = directory.next_eviction();
-    directory.on_time(now + LAPSE_GRACE);
+    directory.on_tick(now + LAPSE_GRACE);
 
     assert_eq!((without_lapse, while_away), (None, None));
     assert_eq!(while_back, Some(now + LAPSE_GRACE));
@@ -89,7 +89,7 @@
     directory.on_listing(now, vec![]);
 
     directory.on_change(now, Change::Put(record("a", Standing::Ready)));
-    let over = directory.on_time(now + LAPSE_GRACE * 2);
+    let over = directory.on_tick(now + LAPSE_GRACE * 2);
 
     assert_eq!(over, Vec::<String>::new());
     assert!(directory.usable("a").is_some());
@@ -126,7 +126,7 @@
     let (mut directory, now) = directory(&["a"]);
     directory.on_store_failure(now, StoreFailure::Unreachable);
     directory.on_store_recovered(now);
-    directory.on_time(now + LAPSE_GRACE);
+    directory.on_tick(now + LAPSE_GRACE);
 
     let removal = directory.on_change(now + LAPSE_GRACE, removed("a"));
 
@@ -167,7 +167,7 @@
     directory.on_store_failure(now, StoreFailure::Unreachable);
     directory.on_store_reachable(now + Duration::from_secs(1));
     let later = now + Duration::from_secs(17);
-    directory.on_time(later);
+    directory.on_tick(later);
     directory.on_store_recovered(later);
 
     let removal = directory.on_change(later, removed("a"));
--- a/crates/sillbank_fleet/tests/lives.rs
+++ b/crates/sillbank_fleet/tests/lives.rs
@@ -137,8 +137,8 @@
     directory.on_listing(now, vec![record(FIRST, Standing::Ready)]);
 
     let removal = directory.on_change(now, removed(Some(FIRST)));
-    let early = directory.on_time(now + LAPSE_GRACE - Duration::from_millis(1));
-    let late = directory.on_time(now + LAPSE_GRACE);
+    let early = directory.on_tick(now + LAPSE_GRACE - Duration::from_millis(1));
+    let late = directory.on_tick(now + LAPSE_GRACE);
 
     assert_eq!(removal, Some(Removal::OlderLife));
     assert!(early.is_empty());
@@ -154,7 +154,7 @@
 
     directory.on_change(now, removed(Some(FIRST)));
     directory.on_change(now, Change::Put(record(SECOND, Standing::Ready)));
-    let gone = directory.on_time(now + LAPSE_GRACE);
+    let gone = directory.on_tick(now + LAPSE_GRACE);
 
     assert!(gone.is_empty());
     assert!(directory.usable(ID).is_some());
--- a/crates/sillbank_fleet/tests/replication.rs
+++ b/crates/sillbank_fleet/tests/replication.rs
@@ -154,10 +154,10 @@
     let (mut replication, mut own) = (Replication::default(), source(&["a", "b"]));
     catch_up_at(now, &mut replication, &mut own, &reporter, 10);
 
-    own.on_time(now);
-    own.on_time(now + LAPSE_GRACE - Duration::from_millis(1));
+    own.on_tick(now);
+    own.on_tick(now + LAPSE_GRACE - Duration::from_millis(1));
     let is_used = own.usable("a").is_some();
-    let gone = own.on_time(now + LAPSE_GRACE);
+    let gone = own.on_tick(now + LAPSE_GRACE);
 
     assert!(is_used);
     assert_eq!(gone, vec!["a".to_owned()]);
@@ -179,8 +179,8 @@
     catch_up_at(passed_on, &mut Replication::default(), &mut third, &second, 10);
 
     for own in [&mut second, &mut third] {
-        let early = own.on_time(returned + LAPSE_GRACE - Duration::from_millis(1));
-        let late = own.on_time(returned + LAPSE_GRACE);
+        let early = own.on_tick(returned + LAPSE_GRACE - Duration::from_millis(1));
+        let late = own.on_tick(returned + LAPSE_GRACE);
         assert!(early.is_empty());
         assert_eq!(late, vec!["a".to_owned()]);
     }
@@ -196,8 +196,8 @@
 
     reporter.on_change(now, Change::Put(record("a", 1)));
     catch_up(&mut replication, &mut own, &reporter, 10);
-    own.on_time(now);
-    let gone = own.on_time(now + LAPSE_GRACE);
+    own.on_tick(now);
+    let gone = own.on_tick(now + LAPSE_GRACE);
 
     assert!(gone.is_empty());
     assert!(own.usable("a").is_some());
--- a/crates/sillbank_fleet/tests/restore.rs
+++ b/crates/sillbank_fleet/tests/restore.rs
@@ -95,10 +95,10 @@
     directory.on_restored(now);
     directory.on_listing(now, vec![ready("a")]);
 
-    directory.on_time(now + RESTORE_HOLD - Duration::from_millis(1));
+    directory.on_tick(now + RESTORE_HOLD - Duration::from_millis(1));
     directory.on_listing(now, vec![ready("a")]);
     let early = (directory.usable("a").is_some(), directory.rereads());
-    directory.on_time(now + RESTORE_HOLD);
+    directory.on_tick(now + RESTORE_HOLD);
     let rereads = directory.rereads();
     directory.on_listing(now + RESTORE_HOLD, vec![ready("a")]);
 
@@ -116,7 +116,7 @@
     directory.on_listing(now, vec![ready("a")]);
 
     directory.on_change(now, removed("a"));
-    directory.on_time(now + RESTORE_HOLD);
+    directory.on_tick(now + RESTORE_HOLD);
 
     assert!(directory.get("a").is_none());
 }
@@ -128,7 +128,7 @@
     directory.on_restored(now);
     directory.on_listing(now, vec![ready("a")]);
 
-    directory.on_time(now + RESTORE_HOLD);
+    directory.on_tick(now + RESTORE_HOLD);
 
     assert_eq!(directory.rereads(), 0);
 }
@@ -142,7 +142,7 @@
     directory.on_listing(now, vec![ready("a")]);
 
     directory.on_change(now, Change::Put(leaving("a")));
-    directory.on_time(now + RESTORE_HOLD);
+    directory.on_tick(now + RESTORE_HOLD);
 
     assert!(directory.usable("a").is_none());
     assert!(directory.get("a").is_some());
@@ -167,9 +167,9 @@
 
     directory.on_restored(now);
     let removals = directory.on_listing(now, vec![ready("a")]);
-    directory.on_time(now + LAPSE_GRACE - Duration::from_millis(1));
+    directory.on_tick(now + LAPSE_GRACE - Duration::from_millis(1));
     let is_usable = directory.usable("b").is_some();
-    let gone = directory.on_time(now + LAPSE_GRACE);
+    let gone = directory.on_tick(now + LAPSE_GRACE);
 
     assert_eq!(removals, vec![("b".to_owned(), Removal::Lapsed)]);
     assert!(is_usable);
@@ -187,7 +187,7 @@
 
     directory.on_restored(later);
     directory.on_listing(later, vec![ready("a"), ready("b")]);
-    directory.on_time(now + RESTORE_HOLD);
+    directory.on_tick(now + RESTORE_HOLD);
 
     assert!(directory.usable("a").is_none());
 }
@@ -210,7 +210,7 @@
             }
             let id = *u.choose(&ENDPOINTS)?;
             act(u, &mut directory, &mut left, now, id)?;
-            directory.on_time(now);
+            directory.on_tick(now);
             for id in &left {
                 assert!(directory.usable(id).is_none(), "{id} left and takes work");
             }
--- a/crates/sillbank_gateway/src/knowledge.rs
+++ b/crates/sillbank_gateway/src/knowledge.rs
@@ -407,7 +407,7 @@
     pub fn on_time(&self, now: Instant) -> Vec<String> {
         let mut directory = self.directory.borrow_mut();
         let before = directory.newest_change();
-        let over = directory.on_time(now);
+        let over = directory.on_tick(now);
         let has_changed = directory.newest_change() != before;
         drop(directory);
         if has_changed {
