--- a/crates/sillbank_admission/src/calls.rs
+++ b/crates/sillbank_admission/src/calls.rs
@@ -1,59 +1,61 @@
-//! Where a plain call is sent, so that it ends in its time; or that it is refused at once.
+//! Selects the endpoint for a plain call so that it finishes in time, or refuses the call at once.
 //!
-//! An endpoint of a plain service works on a few calls at once, queues a few more and refuses the rest. It
-//! serves all VMs of a fleet, and none of them knows what the others have sent. What a VM has seen itself
-//! says enough: how long answers took, and who was full a moment ago. Calls begin at endpoints that are about
-//! as good as the best, evenly by chance; those that are slow or full are left out for as long as that is
-//! likely to hold; and a call for which none is left is refused, so that its caller may come back while there
-//! is time. While endpoints are full, the last one that is not is kept for the most urgent callers.
+//! An endpoint of a plain service processes a few calls concurrently, queues a few more and refuses the rest. It
+//! serves all VMs of a fleet, and no VM knows what the others have sent. What a VM has observed itself is
+//! sufficient: how long answers took, and which endpoints were full a moment ago. Calls are spread evenly at random
+//! over endpoints that are about as good as the best. Slow or full endpoints are left out for as long as that is
+//! likely to last. A call without a remaining endpoint is refused, so that its caller can retry while there is
+//! time. While endpoints are full, the last one that is not is reserved for the most urgent callers.
 
 use sillbank_core::prelude::*;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Weight of a new answer. A VM sees few of one endpoint, so that some three decide.
-const GAIN: f64 = 0.3;
-/// Deviations above the mean in which a call is to end that must not be sent again: about one in 20 ends later.
-const SURE_DEVIATIONS: f64 = 2.0;
-/// Deviation of the times of which one is known, as a part of it: usual for times of work.
-const FIRST_DEVIATION: f64 = 0.5;
-/// Age at which a third is left of what was seen of an endpoint's times; it is taken for like the best again as they
-/// age. One call late each ten seconds is what a look at a slow endpoint costs its callers.
-const SEEN_FOR: Duration = Duration::from_secs(10);
-/// How long an endpoint that refused is taken for full while no answer's time is known.
-const FULL_UNKNOWN: Duration = Duration::from_millis(100);
-/// Shortest and longest time for which it is taken for full: long enough for a call to end there, and not as long as
-/// callers wait.
-const FULL: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
-/// How long an endpoint that is too slow is left before a call looks whether it still is: a second of refusals is what
-/// callers can bear for a fault that is over.
-const LOOK_AFTER: Duration = Duration::from_secs(1);
-/// How long a caller's rank is remembered: as long as a call may take.
-const RANK_SEEN_FOR: Duration = Duration::from_secs(2);
-/// Cost of going to another hall, in calls in flight: a little is better than queueing.
-const OTHER_HALL_COST: f64 = 2.0;
-/// How many times slower than the quickest an endpoint is taken for as good: times of work differ by as much.
-const AS_GOOD: f64 = 2.0;
-/// Cost of each time more that an endpoint is slower than that, in calls in flight: as bad as another hall.
-const SLOWER_COST: f64 = 2.0;
-/// Free endpoints that are kept for the most urgent callers while others are full.
-const KEPT_FOR_URGENT: usize = 1;
+/// Weight of a new answer in the moving averages. A VM sees few answers of one endpoint, so about three decide.
+const EWMA_GAIN: f64 = 0.3;
+/// Deviations above the mean within which a call that is not idempotent is to end: about one in 20 ends later.
+const NON_IDEMPOTENT_DEVIATIONS: f64 = 2.0;
+/// Deviation assumed after the first answer, as a fraction of its time; usual for processing times.
+const INITIAL_DEVIATION_RATIO: f64 = 0.5;
+/// Time constant with which answer times of an endpoint lose weight; as they age, the endpoint is again considered
+/// as good as the best. Probing a slow endpoint costs its callers one late call each ten seconds.
+const ANSWER_DECAY: Duration = Duration::from_secs(10);
+/// Time for which an endpoint that refused is considered full while no answer time is known.
+const FULL_FOR_DEFAULT: Duration = Duration::from_millis(100);
+/// Shortest and longest time for which such an endpoint is considered full: long enough for a call to end there, but
+/// shorter than callers wait.
+const FULL_FOR_RANGE: (Duration, Duration) =
+    (Duration::from_millis(20), Duration::from_millis(500));
+/// Time after which a call probes whether an endpoint is still too slow; callers tolerate a second of refusals
+/// for a fault that is over.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which the rank of a caller is remembered; as long as a call may take.
+const RANK_RETENTION: Duration = Duration::from_secs(2);
+/// Cost of an endpoint in another hall, in calls in flight: going there is better than a longer queue here.
+const REMOTE_HALL_COST: f64 = 2.0;
+/// Ratio to the fastest answer time up to which an endpoint is considered equally good; processing times vary as much.
+const EQUAL_SLOWDOWN: f64 = 2.0;
+/// Cost of each further multiple of the fastest answer time, in calls in flight; equals that of another hall.
+const SLOWDOWN_COST: f64 = 2.0;
+/// Free endpoints that are reserved for the most urgent callers while others are full.
+const RESERVED_ENDPOINTS: usize = 1;
 
-/// What was seen of an endpoint.
+/// Observations of an endpoint.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    /// Mean time to the whole answer, and its mean deviation, in seconds; `None` before the first.
+struct Observations {
+    /// Mean time to the whole answer and its mean deviation, in seconds; `None` before the first answer.
     answer: Option<(f64, f64)>,
     answered_at: Instant,
-    /// When a call was last sent there to look whether it is still too slow.
-    looked_at: Instant,
+    /// When a call last probed whether the endpoint is still too slow.
+    probed_at: Instant,
     full_until: Option<Instant>,
 }
 
-/// What one VM has seen of the endpoints of a plain service, and who calls it.
+/// Balances the calls of one VM over the endpoints of a plain service.
 #[derive(Debug, Default)]
-pub struct CallTimes {
-    seen: HashMap<EndpointId, Seen>,
+pub struct CallBalancer {
+    endpoints: HashMap<EndpointId, Observations>,
+    /// When each rank was last seen.
     ranks: HashMap<u8, Instant>,
 }
 
@@ -62,191 +64,198 @@
 pub struct CallCandidate<'a> {
     /// Endpoint.
     pub endpoint: &'a str,
-    /// Whether it is in the VM's own hall.
-    pub is_home: bool,
-    /// Calls of this VM in flight there.
+    /// Whether the endpoint is in the VM's own hall.
+    pub is_local: bool,
+    /// Calls of this VM in flight to the endpoint.
     pub in_flight: u32,
-    /// Calls that it works on at once.
-    pub places: u32,
+    /// Calls that the endpoint processes concurrently.
+    pub slots: u32,
 }
 
-/// A call.
+/// A call for which an endpoint is selected.
 #[derive(Debug, Clone, Copy)]
-pub struct CallAsk {
-    /// Time that it has left.
+pub struct CallRequest {
+    /// Time until the deadline of the call.
     pub time_left: Duration,
-    /// Whether it may be sent again after an answer was lost.
-    pub may_repeat: bool,
-    /// Its rank; 0 goes first.
+    /// Whether the call may be sent again after its answer was lost.
+    pub is_idempotent: bool,
+    /// Rank of the call; 0 goes first.
     pub rank: u8,
 }
 
-/// Where a call goes.
+/// Decision about a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallChoice {
-    /// To the candidate of this index.
+pub enum CallDecision {
+    /// Send the call to the candidate with this index.
     Send(usize),
-    /// Nowhere: it is refused.
-    Refuse(CallRefused),
+    /// Refuse the call.
+    Refuse(CallRefusal),
 }
 
-/// Why a call is sent nowhere, and when coming back makes sense.
+/// Refusal of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallRefused {
-    /// Why.
-    pub reason: CallRefusal,
-    /// When an endpoint is likely to take it.
-    pub come_back: Duration,
+pub struct CallRefusal {
+    /// Reason for the refusal.
+    pub reason: CallRefusalReason,
+    /// Time after which an endpoint is likely to accept the call.
+    pub retry_after: Duration,
 }
 
-/// Why a call is sent nowhere.
+/// Reason why a call was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallRefusal {
+pub enum CallRefusalReason {
     /// There is no endpoint.
     NoEndpoint,
     /// All endpoints were full a moment ago.
     Full,
-    /// None would answer in the time that is left.
+    /// No endpoint would answer in the time left.
     TooSlow,
-    /// The last endpoint that is not full is kept for more urgent callers.
-    KeptForUrgent,
+    /// The last endpoint that is not full is reserved for more urgent callers.
+    ReservedForUrgent,
     /// All endpoints asked for fewer requests.
     Withheld,
-    /// An endpoint ended under the call, and the only one left is not risked for it.
-    KeptApart,
+    /// An endpoint ended while it processed the call, and the only remaining one is not put at risk.
+    Isolated,
 }
 
-impl CallRefusal {
-    /// Its name in metrics.
+impl CallRefusalReason {
+    /// Name of the reason in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoEndpoint => "no_endpoint",
             Self::Full => "full",
             Self::TooSlow => "too_slow",
-            Self::KeptForUrgent => "kept_for_urgent",
+            Self::ReservedForUrgent => "kept_for_urgent",
             Self::Withheld => "withheld",
-            Self::KeptApart => "kept_apart",
+            Self::Isolated => "kept_apart",
         }
     }
 
-    /// For logs and callers.
+    /// Description for logs and callers.
     pub fn text(self) -> &'static str {
         match self {
             Self::NoEndpoint => "no endpoint of the service can be used",
             Self::Full => "all endpoints of the service are full",
             Self::TooSlow => "no endpoint of the service answers in the time that is left",
-            Self::KeptForUrgent => "the service's last free endpoint is kept for more urgent calls",
-            Self::KeptApart => "an endpoint ended under it, and the only one left is not risked",
+            Self::ReservedForUrgent => {
+                "the service's last free endpoint is kept for more urgent calls"
+            }
+            Self::Isolated => "an endpoint ended under it, and the only one left is not risked",
             Self::Withheld => "the endpoints of the service asked for fewer requests",
         }
     }
 }
 
-impl CallTimes {
-    /// A call was answered after so long.
-    pub fn on_answer(&mut self, endpoint: &str, took: Duration, now: Instant) {
+impl CallBalancer {
+    /// Records an answer and the time it took.
+    pub fn record_answer(&mut self, endpoint: &str, took: Duration, now: Instant) {
         let took_s = took.as_secs_f64();
-        let seen = self.seen_mut(endpoint, now);
-        seen.answer = Some(match seen.answer {
-            None => (took_s, took_s * FIRST_DEVIATION),
+        let observed = self.observations_mut(endpoint, now);
+        observed.answer = Some(match observed.answer {
+            None => (took_s, took_s * INITIAL_DEVIATION_RATIO),
             Some((mean, deviation)) => {
-                // What is long ago weighs little beside what is new.
-                let gain = 1.0 - (1.0 - GAIN) * weight(seen.answered_at, now);
-                let off = took_s - mean;
-                (mean + gain * off, deviation + gain * (off.abs() - deviation))
+                // Old averages have little weight compared with the new answer.
+                let gain = 1.0 - (1.0 - EWMA_GAIN) * weight(observed.answered_at, now);
+                let error = took_s - mean;
+                (mean + gain * error, deviation + gain * (error.abs() - deviation))
             }
         });
-        seen.answered_at = now;
+        observed.answered_at = now;
     }
 
-    /// A call failed, was given up, or its answer was lost, after so long: an answer would have taken longer than that. So
-    /// it counts only if that is longer than answers take; an endpoint that fails at once is not a quick one.
-    pub fn on_unanswered(&mut self, endpoint: &str, after: Duration, now: Instant) {
-        let own = self.seen.get(endpoint).and_then(|seen| seen.answer);
-        let all = self.seen.values().filter_map(|seen| seen.answer);
+    /// Records a call that failed, was given up, or lost its answer, after a time. An answer would have taken longer
+    /// than that, so the time counts only if it is above the mean: an endpoint that fails at once is not a fast one.
+    pub fn record_unanswered(&mut self, endpoint: &str, after: Duration, now: Instant) {
+        let own = self.endpoints.get(endpoint).and_then(|observed| observed.answer);
+        let all = self.endpoints.values().filter_map(|observed| observed.answer);
         let known = own.or_else(|| all.min_by(|a, b| a.0.total_cmp(&b.0)));
         if known.is_some_and(|(mean_s, _)| after.as_secs_f64() > mean_s) {
-            self.on_answer(endpoint, after, now);
+            self.record_answer(endpoint, after, now);
         }
     }
 
-    /// An endpoint refused a call for want of room. By the time of a usual answer all of its places are likely to have
-    /// been given back once.
-    pub fn on_full(&mut self, endpoint: &str, now: Instant) {
-        let seen = self.seen_mut(endpoint, now);
-        let usual = seen.answer.map(|(mean, _)| Duration::from_secs_f64(mean));
-        let full_for = usual.unwrap_or(FULL_UNKNOWN).clamp(FULL.0, FULL.1);
-        seen.full_until = Some(now + full_for);
+    /// Records that an endpoint refused a call because it was full. After the mean time of an answer, each of its slots
+    /// has probably become free once.
+    pub fn record_full(&mut self, endpoint: &str, now: Instant) {
+        let observed = self.observations_mut(endpoint, now);
+        let mean = observed.answer.map(|(mean, _)| Duration::from_secs_f64(mean));
+        let full_for = mean.unwrap_or(FULL_FOR_DEFAULT).clamp(FULL_FOR_RANGE.0, FULL_FOR_RANGE.1);
+        observed.full_until = Some(now + full_for);
     }
 
-    /// Forgets endpoints that are not listed any more.
+    /// Removes endpoints that are no longer listed.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
-        self.seen.retain(|id, _| is_known(id));
+        self.endpoints.retain(|id, _| is_known(id));
     }
 
-    /// Where a call is sent that has come now; `chance` draws from 0 to 1.
+    /// Selects a candidate for a call that has just arrived, or refuses the call. `chance` draws a random number from
+    /// 0 to 1.
     pub fn choose(
         &mut self,
         candidates: &[CallCandidate<'_>],
-        ask: CallAsk,
+        request: CallRequest,
         now: Instant,
         mut chance: impl FnMut() -> f64,
-    ) -> CallChoice {
-        let outlooks = self.outlooks(candidates, now);
-        let usual_s = usual_answer_s(&outlooks);
+    ) -> CallDecision {
+        let estimates = self.estimates(candidates, now);
+        let fastest_s = fastest_answer_s(&estimates);
         let free: Vec<usize> =
-            (0..candidates.len()).filter(|at| outlooks[*at].full_for.is_zero()).collect();
-        let in_time: Vec<usize> =
-            free.iter().copied().filter(|at| outlooks[*at].ends_in_time(ask, usual_s)).collect();
-        let is_short = free.len() < candidates.len();
-        let gives_way = self.is_outranked(ask.rank, now);
+            (0..candidates.len()).filter(|index| estimates[*index].full_for.is_zero()).collect();
+        let in_time: Vec<usize> = free
+            .iter()
+            .copied()
+            .filter(|index| estimates[*index].accepts(request, fastest_s))
+            .collect();
+        let some_full = free.len() < candidates.len();
+        let is_outranked = self.is_outranked(request.rank, now);
         let refusal = match (candidates.is_empty(), free.is_empty(), in_time.len()) {
-            (true, _, _) => Some(CallRefusal::NoEndpoint),
-            (_, true, _) => Some(CallRefusal::Full),
-            (_, _, 0) => Some(CallRefusal::TooSlow),
-            (_, _, left) if is_short && gives_way && left <= KEPT_FOR_URGENT => {
-                Some(CallRefusal::KeptForUrgent)
+            (true, _, _) => Some(CallRefusalReason::NoEndpoint),
+            (_, true, _) => Some(CallRefusalReason::Full),
+            (_, _, 0) => Some(CallRefusalReason::TooSlow),
+            (_, _, left) if some_full && is_outranked && left <= RESERVED_ENDPOINTS => {
+                Some(CallRefusalReason::ReservedForUrgent)
             }
             _ => None,
         };
         if let Some(reason) = refusal {
-            let come_back = come_back(&outlooks, usual_s, chance());
-            return CallChoice::Refuse(CallRefused { reason, come_back });
+            let retry_after = retry_after(&estimates, fastest_s, chance());
+            return CallDecision::Refuse(CallRefusal { reason, retry_after });
         }
-        let cost = |at: usize| outlooks[at].cost(usual_s);
-        let costs = in_time.into_iter().map(|at| (cost(at) + chance(), at));
+        let cost = |index: usize| estimates[index].cost(fastest_s);
+        let costs = in_time.into_iter().map(|index| (cost(index) + chance(), index));
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0));
         let Some((_, best)) = best else {
-            unreachable!("some are in time, or it was refused");
+            unreachable!("without a candidate in time the call is refused above");
         };
-        if outlooks[best].is_too_slow(ask, usual_s) {
-            self.seen_mut(candidates[best].endpoint, now).looked_at = now;
+        if estimates[best].is_too_slow(request, fastest_s) {
+            self.observations_mut(candidates[best].endpoint, now).probed_at = now;
         }
-        CallChoice::Send(best)
+        CallDecision::Send(best)
     }
 
-    /// Whether a more urgent caller than this one called lately. Notes this one.
+    /// Whether a more urgent caller than this one was seen recently. Records the rank of this one.
     fn is_outranked(&mut self, rank: u8, now: Instant) -> bool {
-        self.ranks.retain(|_, at| now.saturating_duration_since(*at) < RANK_SEEN_FOR);
+        self.ranks.retain(|_, at| now.saturating_duration_since(*at) < RANK_RETENTION);
         self.ranks.insert(rank, now);
         self.ranks.keys().any(|other| *other < rank)
     }
 
-    fn outlooks<'a>(&self, candidates: &[CallCandidate<'a>], now: Instant) -> Vec<Outlook<'a>> {
+    fn estimates<'a>(&self, candidates: &[CallCandidate<'a>], now: Instant) -> Vec<Estimate<'a>> {
         let of = |candidate: &CallCandidate<'a>| {
-            let seen = self.seen.get(candidate.endpoint);
-            let answer = seen.and_then(|seen| Some((seen.answer?, seen.answered_at)));
-            let full_until = seen.and_then(|seen| seen.full_until);
-            Outlook {
+            let observed = self.endpoints.get(candidate.endpoint);
+            let answer =
+                observed.and_then(|observed| Some((observed.answer?, observed.answered_at)));
+            let full_until = observed.and_then(|observed| observed.full_until);
+            Estimate {
                 candidate: *candidate,
-                answer: answer.map(|((mean_s, deviation_s), at)| Answer {
+                answer: answer.map(|((mean_s, deviation_s), at)| AnswerTime {
                     mean_s,
                     deviation_s,
                     weight: weight(at, now),
                 }),
-                may_look: seen.is_some_and(|seen| {
-                    let last = seen.answered_at.max(seen.looked_at);
-                    now.saturating_duration_since(last) >= LOOK_AFTER
+                may_probe: observed.is_some_and(|observed| {
+                    let last = observed.answered_at.max(observed.probed_at);
+                    now.saturating_duration_since(last) >= PROBE_INTERVAL
                 }),
                 full_for: full_until.map_or(Duration::ZERO, |u| u.saturating_duration_since(now)),
             }
@@ -254,79 +263,81 @@
         candidates.iter().map(of).collect()
     }
 
-    fn seen_mut(&mut self, endpoint: &str, now: Instant) -> &mut Seen {
-        let new = Seen { answer: None, answered_at: now, looked_at: now, full_until: None };
-        self.seen.entry(endpoint.to_owned()).or_insert(new)
+    fn observations_mut(&mut self, endpoint: &str, now: Instant) -> &mut Observations {
+        let new = Observations { answer: None, answered_at: now, probed_at: now, full_until: None };
+        self.endpoints.entry(endpoint.to_owned()).or_insert(new)
     }
 }
 
-/// What is left, from 1 to 0, of what was seen at a moment.
+/// Remaining weight, from 1 to 0, of an observation made at a moment.
 fn weight(at: Instant, now: Instant) -> f64 {
-    (-now.saturating_duration_since(at).div_duration_f64(SEEN_FOR)).exp()
+    (-now.saturating_duration_since(at).div_duration_f64(ANSWER_DECAY)).exp()
 }
 
-/// Times of an endpoint's answers.
+/// Answer times of an endpoint.
 #[derive(Debug, Clone, Copy)]
-struct Answer {
+struct AnswerTime {
     mean_s: f64,
     deviation_s: f64,
-    /// From 1 to 0 as it ages.
+    /// Falls from 1 to 0 with age.
     weight: f64,
 }
 
-/// What is to be expected of a candidate.
+/// Expected behaviour of a candidate.
 #[derive(Debug, Clone, Copy)]
-struct Outlook<'a> {
+struct Estimate<'a> {
     candidate: CallCandidate<'a>,
-    answer: Option<Answer>,
-    /// Whether nothing was heard of it lately.
-    may_look: bool,
-    /// How much longer it is taken for full.
+    answer: Option<AnswerTime>,
+    /// Whether the endpoint is known, but neither answered nor was probed recently.
+    may_probe: bool,
+    /// How much longer the endpoint is considered full.
     full_for: Duration,
 }
 
-impl Outlook<'_> {
-    /// Mean time of an answer, in seconds: as seen, and the usual one in so far as that is long ago.
-    fn mean_s(&self, usual_s: f64) -> f64 {
-        self.answer.map_or(usual_s, |seen| usual_s + seen.weight * (seen.mean_s - usual_s))
+impl Estimate<'_> {
+    /// Mean answer time in seconds; approaches the fastest one as the observations age.
+    fn mean_s(&self, fastest_s: f64) -> f64 {
+        self.answer
+            .map_or(fastest_s, |answer| fastest_s + answer.weight * (answer.mean_s - fastest_s))
     }
 
-    /// Whether a call that is sent there now is likely to end in its time, or looks whether it would.
-    fn ends_in_time(&self, ask: CallAsk, usual_s: f64) -> bool {
-        self.may_look || !self.is_too_slow(ask, usual_s)
+    /// Whether a call sent there now is likely to finish in time, or may probe whether it would.
+    fn accepts(&self, request: CallRequest, fastest_s: f64) -> bool {
+        self.may_probe || !self.is_too_slow(request, fastest_s)
     }
 
-    /// Whether a call that is sent there now is likely to be late. One that may be repeated can still turn elsewhere,
-    /// so the mean decides.
-    fn is_too_slow(&self, ask: CallAsk, usual_s: f64) -> bool {
-        let deviations = if ask.may_repeat { 0.0 } else { SURE_DEVIATIONS };
-        let deviation_s = self.answer.map_or(0.0, |seen| seen.weight * seen.deviation_s);
+    /// Whether a call sent there now is likely to be late. For an idempotent call the mean decides, because it can
+    /// still be sent elsewhere.
+    fn is_too_slow(&self, request: CallRequest, fastest_s: f64) -> bool {
+        let deviations = if request.is_idempotent { 0.0 } else { NON_IDEMPOTENT_DEVIATIONS };
+        let deviation_s = self.answer.map_or(0.0, |answer| answer.weight * answer.deviation_s);
         let queued =
-            (f64::from(self.candidate.in_flight) + 1.0) / f64::from(self.candidate.places.max(1));
-        let answer_s = self.mean_s(usual_s) + deviations * deviation_s;
-        answer_s * queued.max(1.0) > ask.time_left.as_secs_f64()
+            (f64::from(self.candidate.in_flight) + 1.0) / f64::from(self.candidate.slots.max(1));
+        let answer_s = self.mean_s(fastest_s) + deviations * deviation_s;
+        answer_s * queued.max(1.0) > request.time_left.as_secs_f64()
     }
 
-    /// Cost, in calls in flight.
-    fn cost(&self, usual_s: f64) -> f64 {
-        let times_slower = if usual_s > 0.0 { self.mean_s(usual_s) / usual_s } else { 1.0 };
-        let away = if self.candidate.is_home { 0.0 } else { OTHER_HALL_COST };
-        let slow = (times_slower - AS_GOOD).max(0.0) * SLOWER_COST;
-        f64::from(self.candidate.in_flight) + away + slow
+    /// Cost in calls in flight.
+    fn cost(&self, fastest_s: f64) -> f64 {
+        let slowdown = if fastest_s > 0.0 { self.mean_s(fastest_s) / fastest_s } else { 1.0 };
+        let remote_cost = if self.candidate.is_local { 0.0 } else { REMOTE_HALL_COST };
+        let slowdown_cost = (slowdown - EQUAL_SLOWDOWN).max(0.0) * SLOWDOWN_COST;
+        f64::from(self.candidate.in_flight) + remote_cost + slowdown_cost
     }
 }
 
-/// Usual time of an answer, in seconds: that of the quickest endpoint. 0 while nothing is known, so that nothing is
-/// taken for slow.
-fn usual_answer_s(outlooks: &[Outlook<'_>]) -> f64 {
-    let means = outlooks.iter().filter_map(|outlook| Some(outlook.answer?.mean_s));
+/// Mean answer time of the fastest endpoint, in seconds. 0 while nothing is known, so that no endpoint is considered
+/// slow.
+fn fastest_answer_s(estimates: &[Estimate<'_>]) -> f64 {
+    let means = estimates.iter().filter_map(|estimate| Some(estimate.answer?.mean_s));
     means.min_by(f64::total_cmp).unwrap_or(0.0)
 }
 
-/// When a caller should come back: when the first endpoint is likely to have room, and up to a usual answer later, so
-/// that callers refused together do not come together.
-fn come_back(outlooks: &[Outlook<'_>], usual_s: f64, chance: f64) -> Duration {
-    let soonest = outlooks.iter().map(|outlook| outlook.full_for).min().unwrap_or(FULL_UNKNOWN);
-    let usual = Duration::from_secs_f64(usual_s).clamp(FULL.0, FULL.1);
-    soonest.max(FULL.0) + usual.mul_f64(chance.clamp(0.0, 1.0))
+/// Time after which a caller should retry: when the first endpoint is likely to be free, plus up to one answer time as
+/// jitter, so that callers refused together do not retry together.
+fn retry_after(estimates: &[Estimate<'_>], fastest_s: f64, chance: f64) -> Duration {
+    let soonest =
+        estimates.iter().map(|estimate| estimate.full_for).min().unwrap_or(FULL_FOR_DEFAULT);
+    let jitter = Duration::from_secs_f64(fastest_s).clamp(FULL_FOR_RANGE.0, FULL_FOR_RANGE.1);
+    soonest.max(FULL_FOR_RANGE.0) + jitter.mul_f64(chance.clamp(0.0, 1.0))
 }
--- a/crates/sillbank_admission/tests/budget.rs
+++ b/crates/sillbank_admission/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Repeats stay within their budget in every window, whichever VMs draw them.
+//! Tests that retries stay within their budget in every window, whichever VMs send them.
 
 use sillbank_admission::budget::{RetryBudget, RetryLimits};
 use sillbank_testing::for_fixed_seeds;
@@ -10,59 +10,63 @@
     RetryLimits { window: WINDOW, ratio, slack }
 }
 
-/// A budget of a process that has run for a window, and that moment.
-fn grown_budget(ratio: f64, slack: f64) -> (RetryBudget, Instant) {
-    let began = Instant::now();
-    (RetryBudget::new(limits(ratio, slack), began), began + WINDOW)
+/// A budget of a process that has run for one window, and the current time.
+fn warmed_up_budget(ratio: f64, slack: f64) -> (RetryBudget, Instant) {
+    let started_at = Instant::now();
+    (RetryBudget::new(limits(ratio, slack), started_at), started_at + WINDOW)
 }
 
+/// The budget allows the ratio of the first sends plus the slack; without traffic, only the slack.
 #[test]
-fn repeats_are_drawn_from_slack_and_traffic() {
-    // Arrange: 10 first sends a second for three windows.
-    let (mut budget, start) = grown_budget(0.2, 2.0);
+fn retries_are_limited_by_slack_and_first_sends() {
+    // Arrange: 10 first sends per second for three windows.
+    let (mut budget, start) = warmed_up_budget(0.2, 2.0);
     let pause = WINDOW / 100;
-    (0..300).for_each(|number| budget.on_first(start + pause * number));
+    (0..300).for_each(|number| budget.record_first_send(start + pause * number));
 
-    // Act: as many repeats as there is room for, twice a window apart.
-    let drawn = [start + WINDOW * 3, start + WINDOW * 4 + pause * 3].map(|at| {
-        let granted = (0..100).take_while(|_| budget.try_repeat(at)).count();
+    // Act: use up the budget twice, one window apart.
+    let allowed = [start + WINDOW * 3, start + WINDOW * 4 + pause * 3].map(|at| {
+        let granted = (0..100).take_while(|_| budget.try_retry(at)).count();
         granted as u32
     });
 
-    // Assert: a fifth of a window's first sends and the slack, less what slices leave unused; and
-    // when traffic has ended, the slack.
-    assert!((20..=22).contains(&drawn[0]), "{drawn:?}");
-    assert_eq!(drawn[1], 2);
+    // Assert: a fifth of a window's first sends plus the slack, minus what the slices leave unused; after
+    // the traffic has ended, only the slack.
+    assert!((20..=22).contains(&allowed[0]), "{allowed:?}");
+    assert_eq!(allowed[1], 2);
 }
 
+/// A retry counts against the budget for one window, and no longer.
 #[test]
-fn the_budget_is_whole_again_after_a_window() {
-    let (mut budget, now) = grown_budget(0.0, 1.0);
+fn budget_is_restored_after_one_window() {
+    let (mut budget, now) = warmed_up_budget(0.0, 1.0);
 
-    assert!(budget.try_repeat(now));
-    assert!(!budget.try_repeat(now + WINDOW / 2));
-    assert!(!budget.try_repeat(now + WINDOW - Duration::from_millis(1)));
-    assert!(budget.try_repeat(now + WINDOW + WINDOW / 25));
+    assert!(budget.try_retry(now));
+    assert!(!budget.try_retry(now + WINDOW / 2));
+    assert!(!budget.try_retry(now + WINDOW - Duration::from_millis(1)));
+    assert!(budget.try_retry(now + WINDOW + WINDOW / 25));
 }
 
+/// Guards against a restart that doubles the slack: the preceding process may have used its own.
 #[test]
-fn a_new_process_has_no_slack_while_the_one_before_it_may_have_used_its_own() {
-    let began = Instant::now();
-    let mut budget = RetryBudget::new(limits(0.0, 1.0), began);
+fn new_process_has_no_slack_during_its_first_window() {
+    let started_at = Instant::now();
+    let mut budget = RetryBudget::new(limits(0.0, 1.0), started_at);
 
-    assert!(!budget.try_repeat(began + WINDOW - Duration::from_millis(1)));
-    assert!(budget.try_repeat(began + WINDOW));
+    assert!(!budget.try_retry(started_at + WINDOW - Duration::from_millis(1)));
+    assert!(budget.try_retry(started_at + WINDOW));
 }
 
+/// Without first sends, no window contains more retries than the slack.
 #[test]
-fn no_sliding_window_holds_more_repeats_than_slack_without_traffic() {
+fn sliding_windows_stay_within_slack_without_traffic() {
     for_fixed_seeds(200, 512, |u| {
-        let (mut budget, start) = grown_budget(0.0, 5.0);
+        let (mut budget, start) = warmed_up_budget(0.0, 5.0);
         let mut at = start;
         let mut granted: Vec<Instant> = Vec::new();
         for _ in 0..200 {
             at += Duration::from_millis(u.int_in_range(0..=700)?);
-            if budget.try_repeat(at) {
+            if budget.try_retry(at) {
                 granted.push(at);
             }
         }
@@ -74,44 +78,47 @@
     });
 }
 
-/// What happened to a service in the whole fleet.
+/// Sends for one service over the whole fleet.
 #[derive(Default)]
 struct History {
-    firsts: Vec<Instant>,
-    repeats: Vec<Instant>,
+    first_sends: Vec<Instant>,
+    retries: Vec<Instant>,
 }
 
 impl History {
-    /// First sends from a moment on, for a window.
-    fn firsts_from(&self, from: Instant) -> usize {
-        self.firsts.iter().filter(|at| **at >= from && **at <= from + WINDOW).count()
+    /// First sends within the window that starts at a moment.
+    fn first_sends_from(&self, from: Instant) -> usize {
+        self.first_sends.iter().filter(|at| **at >= from && **at <= from + WINDOW).count()
     }
 
-    /// Whether each window's repeats fit the first sends of the window, of the one before it or of the
-    /// one half a window before it.
+    /// Whether the retries of each window are within the limits for the first sends of the window, of the one
+    /// before it, or of the one half a window before it.
     fn is_within(&self, limits: RetryLimits) -> bool {
-        self.repeats.iter().all(|from| {
-            let repeats = self.repeats.iter().filter(|at| **at >= *from && **at <= *from + WINDOW);
-            let firsts = [*from, *from - WINDOW / 2, *from - WINDOW];
-            let firsts = firsts.map(|from| self.firsts_from(from)).into_iter().max().unwrap_or(0);
-            repeats.count() as f64 <= limits.ratio * firsts as f64 + limits.slack
+        self.retries.iter().all(|from| {
+            let retries = self.retries.iter().filter(|at| **at >= *from && **at <= *from + WINDOW);
+            let first_sends = [*from, *from - WINDOW / 2, *from - WINDOW];
+            let first_sends =
+                first_sends.map(|from| self.first_sends_from(from)).into_iter().max().unwrap_or(0);
+            retries.count() as f64 <= limits.ratio * first_sends as f64 + limits.slack
         })
     }
 }
 
+/// The bound holds for the fleet as a whole while callers move between VMs and processes restart.
 #[test]
-fn no_window_of_the_fleet_exceeds_the_budget_while_traffic_moves_and_vms_restart() {
+fn fleet_stays_within_budget_while_traffic_moves_and_vms_restart() {
     const VMS: usize = 4;
     for_fixed_seeds(150, 4096, |u| {
-        // Arrange: as many shares of the slack as VMs.
+        // Arrange: the slack is divided evenly among the VMs.
         let fleet = limits(0.2, 12.0);
         let share = limits(0.2, fleet.slack / VMS as f64);
-        let began = Instant::now();
-        let mut vms: Vec<RetryBudget> = (0..VMS).map(|_| RetryBudget::new(share, began)).collect();
+        let started_at = Instant::now();
+        let mut vms: Vec<RetryBudget> =
+            (0..VMS).map(|_| RetryBudget::new(share, started_at)).collect();
         let mut history = History::default();
-        let mut at = began + WINDOW;
+        let mut at = started_at + WINDOW;
 
-        // Act: callers move between VMs, repeats come in bursts, processes end and begin anew.
+        // Act: callers move between VMs, retries come in bursts, processes restart.
         for _ in 0..250 {
             at += Duration::from_millis(u.int_in_range(0..=400)?);
             let vm = u.choose_index(VMS)?;
@@ -119,14 +126,14 @@
                 0 => vms[vm] = RetryBudget::new(share, at),
                 1..=11 => {
                     for _ in 0..u.int_in_range(1..=8)? {
-                        vms[vm].on_first(at);
-                        history.firsts.push(at);
+                        vms[vm].record_first_send(at);
+                        history.first_sends.push(at);
                     }
                 }
                 _ => {
                     for _ in 0..u.int_in_range(1..=20)? {
-                        if vms[vm].try_repeat(at) {
-                            history.repeats.push(at);
+                        if vms[vm].try_retry(at) {
+                            history.retries.push(at);
                         }
                     }
                 }
--- a/crates/sillbank_admission/tests/calls.rs
+++ b/crates/sillbank_admission/tests/calls.rs
@@ -1,34 +1,35 @@
-//! Where plain calls go: traces of calls and answers, without a network.
+//! Tests of endpoint selection for plain calls: sequences of calls and answers, without a network.
 
 use sillbank_admission::calls::{
-    CallAsk, CallCandidate, CallChoice, CallRefusal, CallRefused, CallTimes,
+    CallBalancer, CallCandidate, CallDecision, CallRefusal, CallRefusalReason, CallRequest,
 };
 use sillbank_testing::for_fixed_seeds;
 use std::time::{Duration, Instant};
 
 const IDS: [&str; 7] = ["e0", "e1", "e2", "e3", "e4", "e5", "e6"];
-const PLACES: u32 = 6;
-const USUAL: Duration = Duration::from_millis(50);
+const SLOTS: u32 = 6;
+const USUAL_ANSWER: Duration = Duration::from_millis(50);
 const TIME_LEFT: Duration = Duration::from_millis(800);
-const ONCE: CallAsk = CallAsk { time_left: TIME_LEFT, may_repeat: false, rank: 1 };
-const REPEATABLE: CallAsk = CallAsk { may_repeat: true, ..ONCE };
+const NON_IDEMPOTENT: CallRequest =
+    CallRequest { time_left: TIME_LEFT, is_idempotent: false, rank: 1 };
+const IDEMPOTENT: CallRequest = CallRequest { is_idempotent: true, ..NON_IDEMPOTENT };
 
-/// Seven endpoints, all at home and idle.
-fn idle() -> Vec<CallCandidate<'static>> {
-    let of = |endpoint| CallCandidate { endpoint, is_home: true, in_flight: 0, places: PLACES };
+/// Seven endpoints, all local and idle.
+fn idle_candidates() -> Vec<CallCandidate<'static>> {
+    let of = |endpoint| CallCandidate { endpoint, is_local: true, in_flight: 0, slots: SLOTS };
     IDS.map(of).to_vec()
 }
 
-/// What a VM has seen that had three answers of a usual time from each endpoint.
-fn usual_times(now: Instant) -> CallTimes {
-    let mut times = CallTimes::default();
+/// A balancer that has recorded three answers in the usual time from each endpoint.
+fn warmed_up_balancer(now: Instant) -> CallBalancer {
+    let mut balancer = CallBalancer::default();
     for id in IDS {
-        (0..3).for_each(|_| times.on_answer(id, USUAL, now));
+        (0..3).for_each(|_| balancer.record_answer(id, USUAL_ANSWER, now));
     }
-    times
+    balancer
 }
 
-/// Numbers from 0 to 1 that look drawn by chance and are the same each time.
+/// Reproducible pseudo-random numbers from 0 to 1.
 fn draws() -> impl FnMut() -> f64 {
     let mut state = 1_u64;
     move || {
@@ -38,216 +39,267 @@
     }
 }
 
-fn refused(choice: CallChoice) -> Option<CallRefused> {
-    match choice {
-        CallChoice::Refuse(refused) => Some(refused),
-        CallChoice::Send(_) => None,
+fn refused(decision: CallDecision) -> Option<CallRefusal> {
+    match decision {
+        CallDecision::Refuse(refused) => Some(refused),
+        CallDecision::Send(_) => None,
     }
 }
 
-/// How many of so many calls, one each 20 ms, go to each endpoint; each is answered after its time.
-fn sent_to(times: &mut CallTimes, calls: u32, from: Instant, took: [Duration; 7]) -> [u32; 7] {
+/// Number of calls that go to each endpoint, at one call each 20 ms; each endpoint answers in its time of `took`.
+fn sent_to(
+    balancer: &mut CallBalancer,
+    calls: u32,
+    from: Instant,
+    took: [Duration; 7],
+) -> [u32; 7] {
     let mut sent = [0; 7];
     let mut draws = draws();
     for number in 0..calls {
         let now = from + Duration::from_millis(20) * number;
-        if let CallChoice::Send(at) = times.choose(&idle(), ONCE, now, &mut draws) {
+        if let CallDecision::Send(at) =
+            balancer.choose(&idle_candidates(), NON_IDEMPOTENT, now, &mut draws)
+        {
             sent[at] += 1;
-            times.on_answer(IDS[at], took[at], now);
+            balancer.record_answer(IDS[at], took[at], now);
         }
     }
     sent
 }
 
+/// Calls are spread evenly over endpoints without observations.
 #[test]
-fn first_sends_are_even_over_endpoints_of_which_nothing_is_known() {
-    let mut times = CallTimes::default();
+fn calls_are_even_over_unknown_endpoints() {
+    let mut balancer = CallBalancer::default();
 
-    let sent = sent_to(&mut times, 700, Instant::now(), [USUAL; 7]);
+    let sent = sent_to(&mut balancer, 700, Instant::now(), [USUAL_ANSWER; 7]);
 
     assert!(sent.iter().all(|count| (70..130).contains(count)), "{sent:?}");
 }
 
+/// An endpoint that is ten times slower gets few calls, and its share again after it has recovered.
 #[test]
-fn an_endpoint_ten_times_slower_gets_few_calls_and_is_looked_at_again() {
+fn slow_endpoint_gets_few_calls_and_is_probed_again() {
     let now = Instant::now();
-    let mut times = usual_times(now);
-    let mut took = [USUAL; 7];
-    took[3] = USUAL * 10;
+    let mut balancer = warmed_up_balancer(now);
+    let mut took = [USUAL_ANSWER; 7];
+    took[3] = USUAL_ANSWER * 10;
 
-    let slow = sent_to(&mut times, 700, now, took);
-    let later = sent_to(&mut times, 700, now + Duration::from_secs(60), [USUAL; 7]);
+    let slow = sent_to(&mut balancer, 700, now, took);
+    let later = sent_to(&mut balancer, 700, now + Duration::from_secs(60), [USUAL_ANSWER; 7]);
 
     assert!(slow[3] < 15, "{slow:?}");
     assert!(later[3] > 50, "{later:?}");
 }
 
+/// A call that is not idempotent is refused when the endpoint may be too slow; an idempotent call is sent.
 #[test]
-fn a_call_that_runs_once_is_not_sent_where_it_cannot_end_in_its_time() {
+fn non_idempotent_call_is_not_sent_to_a_too_slow_endpoint() {
     let now = Instant::now();
-    let mut times = CallTimes::default();
-    times.on_answer(IDS[0], Duration::from_millis(600), now);
-    let only = &idle()[..1];
-
-    let once = times.choose(only, ONCE, now, draws());
-    let repeatable = times.choose(only, REPEATABLE, now, draws());
-
-    assert_eq!(refused(once).map(|refused| refused.reason), Some(CallRefusal::TooSlow));
-    assert_eq!(repeatable, CallChoice::Send(0));
+    let mut balancer = CallBalancer::default();
+    balancer.record_answer(IDS[0], Duration::from_millis(600), now);
+    let only = &idle_candidates()[..1];
+
+    let non_idempotent = balancer.choose(only, NON_IDEMPOTENT, now, draws());
+    let idempotent = balancer.choose(only, IDEMPOTENT, now, draws());
+
+    assert_eq!(
+        refused(non_idempotent).map(|refused| refused.reason),
+        Some(CallRefusalReason::TooSlow)
+    );
+    assert_eq!(idempotent, CallDecision::Send(0));
 }
 
+/// A call is refused when the queue of the endpoint is too long for its deadline.
 #[test]
-fn a_call_is_not_queued_behind_more_than_can_end_before_it() {
+fn call_is_not_sent_to_a_queue_that_is_too_long() {
     let now = Instant::now();
-    let mut times = usual_times(now);
-    let mut candidates = idle();
+    let mut balancer = warmed_up_balancer(now);
+    let mut candidates = idle_candidates();
     candidates.truncate(1);
-    candidates[0].in_flight = PLACES * 20;
+    candidates[0].in_flight = SLOTS * 20;
 
-    let choice = times.choose(&candidates, ONCE, now, draws());
+    let choice = balancer.choose(&candidates, NON_IDEMPOTENT, now, draws());
 
-    assert_eq!(refused(choice).map(|refused| refused.reason), Some(CallRefusal::TooSlow));
+    assert_eq!(refused(choice).map(|refused| refused.reason), Some(CallRefusalReason::TooSlow));
 }
 
+/// Endpoints that were too slow are probed by one call per second.
 #[test]
-fn endpoints_that_were_too_slow_are_looked_at_by_one_call_a_second() {
+fn too_slow_endpoints_are_probed_once_per_second() {
     let now = Instant::now();
-    let mut times = CallTimes::default();
-    times.on_answer(IDS[0], TIME_LEFT * 2, now);
-    let mut looks = 0;
+    let mut balancer = CallBalancer::default();
+    balancer.record_answer(IDS[0], TIME_LEFT * 2, now);
+    let mut probes = 0;
 
     for number in 0..50 {
         let at = now + Duration::from_millis(100) * number;
-        let choice = times.choose(&idle()[..1], ONCE, at, draws());
-        looks += u32::from(choice == CallChoice::Send(0));
+        let choice = balancer.choose(&idle_candidates()[..1], NON_IDEMPOTENT, at, draws());
+        probes += u32::from(choice == CallDecision::Send(0));
     }
 
-    assert!((4..=5).contains(&looks), "{looks} in 5 s");
+    assert!((4..=5).contains(&probes), "{probes} in 5 s");
 }
 
+/// When all endpoints are full, callers are refused at once and told different times to retry after, soon enough for
+/// their deadlines.
 #[test]
-fn when_all_are_full_callers_are_refused_at_once_and_come_back_apart_while_there_is_time() {
+fn callers_refused_by_full_endpoints_get_spread_retry_times() {
     let now = Instant::now();
-    let mut times = usual_times(now);
-    IDS.iter().for_each(|id| times.on_full(id, now));
+    let mut balancer = warmed_up_balancer(now);
+    IDS.iter().for_each(|id| balancer.record_full(id, now));
     let mut draws = draws();
 
-    let told: Vec<CallRefused> =
-        (0..20).filter_map(|_| refused(times.choose(&idle(), ONCE, now, &mut draws))).collect();
-
-    let mut come_back: Vec<Duration> = told.iter().map(|refused| refused.come_back).collect();
-    come_back.sort();
-    come_back.dedup();
-    assert!(told.iter().all(|refused| refused.reason == CallRefusal::Full), "{told:?}");
-    assert_eq!(come_back.len(), 20);
-    assert!(come_back[0] >= USUAL && come_back[19] <= Duration::from_millis(150), "{come_back:?}");
-    assert!(refused(times.choose(&idle(), ONCE, now + come_back[0], &mut draws)).is_none());
+    let refusals: Vec<CallRefusal> = (0..20)
+        .filter_map(|_| {
+            refused(balancer.choose(&idle_candidates(), NON_IDEMPOTENT, now, &mut draws))
+        })
+        .collect();
+
+    let mut retry_after: Vec<Duration> =
+        refusals.iter().map(|refused| refused.retry_after).collect();
+    retry_after.sort();
+    retry_after.dedup();
+    assert!(
+        refusals.iter().all(|refused| refused.reason == CallRefusalReason::Full),
+        "{refusals:?}"
+    );
+    assert_eq!(retry_after.len(), 20);
+    assert!(
+        retry_after[0] >= USUAL_ANSWER && retry_after[19] <= Duration::from_millis(150),
+        "{retry_after:?}"
+    );
+    assert!(
+        refused(balancer.choose(
+            &idle_candidates(),
+            NON_IDEMPOTENT,
+            now + retry_after[0],
+            &mut draws
+        ))
+        .is_none()
+    );
 }
 
+/// In a burst, calls move on to endpoints that have not refused, until all slots are used.
 #[test]
-fn a_burst_goes_on_to_endpoints_that_did_not_refuse() {
+fn burst_uses_the_slots_of_all_endpoints() {
     let now = Instant::now();
-    let mut times = usual_times(now);
-    let mut taken = [0; 7];
+    let mut balancer = warmed_up_balancer(now);
+    let mut used = [0; 7];
     let mut refusals = 0;
     let mut draws = draws();
 
-    // More calls than there are places come at once from many VMs, of which this one sees the refusals.
+    // More calls than slots arrive at once; this VM sees the refusals.
     for _ in 0..60 {
-        match times.choose(&idle(), ONCE, now, &mut draws) {
-            CallChoice::Send(at) if taken[at] < PLACES => taken[at] += 1,
-            CallChoice::Send(at) => {
+        match balancer.choose(&idle_candidates(), NON_IDEMPOTENT, now, &mut draws) {
+            CallDecision::Send(at) if used[at] < SLOTS => used[at] += 1,
+            CallDecision::Send(at) => {
                 refusals += 1;
-                times.on_full(IDS[at], now);
+                balancer.record_full(IDS[at], now);
             }
-            CallChoice::Refuse(_) => {}
+            CallDecision::Refuse(_) => {}
         }
     }
 
-    assert_eq!(taken, [PLACES; 7], "all places are used");
+    assert_eq!(used, [SLOTS; 7], "all slots are used");
     assert_eq!(refusals, 7, "each endpoint refuses once");
 }
 
+/// The last free endpoint is reserved for the most urgent callers while these send calls.
 #[test]
-fn the_last_free_endpoint_is_kept_for_the_most_urgent_while_they_call() {
+fn last_free_endpoint_is_reserved_for_urgent_callers() {
     let now = Instant::now();
-    let mut times = usual_times(now);
-    IDS[1..].iter().for_each(|id| times.on_full(id, now));
-    let urgent = CallAsk { rank: 0, ..ONCE };
+    let mut balancer = warmed_up_balancer(now);
+    IDS[1..].iter().for_each(|id| balancer.record_full(id, now));
+    let urgent = CallRequest { rank: 0, ..NON_IDEMPOTENT };
 
-    let before = times.choose(&idle(), ONCE, now, draws());
-    let first = times.choose(&idle(), urgent, now, draws());
-    let less_urgent = times.choose(&idle(), ONCE, now, draws());
-    let again = times.choose(&idle(), urgent, now, draws());
+    let before = balancer.choose(&idle_candidates(), NON_IDEMPOTENT, now, draws());
+    let first = balancer.choose(&idle_candidates(), urgent, now, draws());
+    let less_urgent = balancer.choose(&idle_candidates(), NON_IDEMPOTENT, now, draws());
+    let again = balancer.choose(&idle_candidates(), urgent, now, draws());
 
-    assert_eq!([before, first, again], [CallChoice::Send(0); 3]);
-    assert_eq!(refused(less_urgent).map(|r| r.reason), Some(CallRefusal::KeptForUrgent));
+    assert_eq!([before, first, again], [CallDecision::Send(0); 3]);
+    assert_eq!(refused(less_urgent).map(|r| r.reason), Some(CallRefusalReason::ReservedForUrgent));
 }
 
+/// Ranks make no difference while no endpoint is full.
 #[test]
-fn while_nobody_is_full_ranks_are_served_alike() {
+fn all_ranks_are_served_equally_without_full_endpoints() {
     let now = Instant::now();
-    let mut times = usual_times(now);
-    times.choose(&idle(), CallAsk { rank: 0, ..ONCE }, now, draws());
+    let mut balancer = warmed_up_balancer(now);
+    balancer.choose(&idle_candidates(), CallRequest { rank: 0, ..NON_IDEMPOTENT }, now, draws());
 
-    let least_urgent = times.choose(&idle()[..1], CallAsk { rank: 255, ..ONCE }, now, draws());
+    let least_urgent = balancer.choose(
+        &idle_candidates()[..1],
+        CallRequest { rank: 255, ..NON_IDEMPOTENT },
+        now,
+        draws(),
+    );
 
-    assert_eq!(least_urgent, CallChoice::Send(0));
+    assert_eq!(least_urgent, CallDecision::Send(0));
 }
 
+/// Guards against short times of abandoned calls that make a slow endpoint look fast.
 #[test]
-fn a_call_that_was_given_up_early_makes_no_endpoint_quicker() {
+fn abandoned_call_does_not_reduce_the_answer_time() {
     let now = Instant::now();
-    let mut times = CallTimes::default();
-    times.on_answer(IDS[0], TIME_LEFT * 2, now);
-    (0..10).for_each(|_| times.on_unanswered(IDS[0], USUAL, now));
+    let mut balancer = CallBalancer::default();
+    balancer.record_answer(IDS[0], TIME_LEFT * 2, now);
+    (0..10).for_each(|_| balancer.record_unanswered(IDS[0], USUAL_ANSWER, now));
 
-    let choice = times.choose(&idle()[..1], ONCE, now, draws());
+    let choice = balancer.choose(&idle_candidates()[..1], NON_IDEMPOTENT, now, draws());
 
-    assert_eq!(refused(choice).map(|refused| refused.reason), Some(CallRefusal::TooSlow));
+    assert_eq!(refused(choice).map(|refused| refused.reason), Some(CallRefusalReason::TooSlow));
 }
 
+/// Guards against an endpoint that fails immediately and attracts calls as the fastest one.
 #[test]
-fn an_endpoint_that_fails_at_once_is_not_taken_for_a_quick_one() {
+fn endpoint_that_fails_at_once_is_not_considered_fast() {
     let now = Instant::now();
-    let mut times = CallTimes::default();
-    IDS[1..].iter().for_each(|id| times.on_answer(id, USUAL, now));
-    (0..10).for_each(|_| times.on_unanswered(IDS[0], Duration::from_millis(1), now));
+    let mut balancer = CallBalancer::default();
+    IDS[1..].iter().for_each(|id| balancer.record_answer(id, USUAL_ANSWER, now));
+    (0..10).for_each(|_| balancer.record_unanswered(IDS[0], Duration::from_millis(1), now));
     let mut draws = draws();
 
-    let to_first =
-        (0..700).filter(|_| times.choose(&idle(), ONCE, now, &mut draws) == CallChoice::Send(0));
+    let to_first = (0..700).filter(|_| {
+        balancer.choose(&idle_candidates(), NON_IDEMPOTENT, now, &mut draws)
+            == CallDecision::Send(0)
+    });
 
     let count = to_first.count();
     assert!(count < 130, "{count} of 700");
 }
 
+/// An endpoint that does not answer is avoided like a slow one.
 #[test]
-fn an_endpoint_that_does_not_answer_is_left_as_one_that_is_slow() {
+fn unanswered_call_counts_as_a_slow_answer() {
     let now = Instant::now();
-    let mut times = CallTimes::default();
-    IDS[1..].iter().for_each(|id| times.on_answer(id, USUAL, now));
-    times.on_unanswered(IDS[0], TIME_LEFT, now);
+    let mut balancer = CallBalancer::default();
+    IDS[1..].iter().for_each(|id| balancer.record_answer(id, USUAL_ANSWER, now));
+    balancer.record_unanswered(IDS[0], TIME_LEFT, now);
     let mut draws = draws();
 
-    let chosen = (0..100).map(|_| times.choose(&idle(), ONCE, now, &mut draws));
+    let decisions =
+        (0..100).map(|_| balancer.choose(&idle_candidates(), NON_IDEMPOTENT, now, &mut draws));
 
-    assert!(chosen.into_iter().all(|choice| choice != CallChoice::Send(0)));
+    assert!(decisions.into_iter().all(|choice| choice != CallDecision::Send(0)));
 }
 
+/// A call without candidates is refused with its own reason.
 #[test]
-fn without_endpoints_callers_are_told_so() {
-    let choice = CallTimes::default().choose(&[], ONCE, Instant::now(), draws());
+fn call_without_endpoints_is_refused() {
+    let choice = CallBalancer::default().choose(&[], NON_IDEMPOTENT, Instant::now(), draws());
 
-    assert_eq!(refused(choice).map(|refused| refused.reason), Some(CallRefusal::NoEndpoint));
+    assert_eq!(refused(choice).map(|refused| refused.reason), Some(CallRefusalReason::NoEndpoint));
 }
 
+/// For any sequence of events, no call is sent to a full endpoint and none is refused without an observation.
 #[test]
-fn no_call_goes_to_an_endpoint_that_is_full_and_none_is_refused_for_nothing() {
+fn calls_avoid_full_endpoints_and_are_not_refused_without_reason() {
     for_fixed_seeds(1_000, 1024, |u| {
         let start = Instant::now();
         let mut now = start;
-        let mut times = CallTimes::default();
+        let mut balancer = CallBalancer::default();
         let mut full_until = [start; 7];
         let mut answered = false;
         while !u.is_empty() {
@@ -255,12 +307,12 @@
             let at = u.choose_index(7)?;
             match u.int_in_range(0..=3)? {
                 0 => {
-                    times.on_full(IDS[at], now);
-                    // The shortest time for which one is taken for full.
+                    balancer.record_full(IDS[at], now);
+                    // The shortest time for which an endpoint is considered full.
                     full_until[at] = now + Duration::from_millis(20);
                 }
                 1 => {
-                    times.on_answer(
+                    balancer.record_answer(
                         IDS[at],
                         Duration::from_millis(u.int_in_range(0..=2_000)?),
                         now,
@@ -268,17 +320,17 @@
                     answered = true;
                 }
                 _ => {
-                    let ask = CallAsk {
+                    let request = CallRequest {
                         time_left: Duration::from_millis(u.int_in_range(0..=1_500)?),
-                        may_repeat: u.arbitrary()?,
+                        is_idempotent: u.arbitrary()?,
                         rank: u.arbitrary()?,
                     };
-                    match times.choose(&idle(), ask, now, draws()) {
-                        CallChoice::Send(at) => assert!(full_until[at] <= now, "{at} is full"),
-                        CallChoice::Refuse(refused) => {
-                            assert!(refused.come_back <= Duration::from_secs(1), "{refused:?}");
-                            let was_seen = answered || full_until.iter().any(|at| *at > start);
-                            assert!(was_seen, "{refused:?} by nothing that was seen");
+                    match balancer.choose(&idle_candidates(), request, now, draws()) {
+                        CallDecision::Send(at) => assert!(full_until[at] <= now, "{at} is full"),
+                        CallDecision::Refuse(refused) => {
+                            assert!(refused.retry_after <= Duration::from_secs(1), "{refused:?}");
+                            let was_observed = answered || full_until.iter().any(|at| *at > start);
+                            assert!(was_observed, "{refused:?} without any observation");
                         }
                     }
                 }
--- a/crates/sillbank_admission/tests/level.rs
+++ b/crates/sillbank_admission/tests/level.rs
@@ -1,33 +1,35 @@
-//! Which share is let in by how full the engines are, and what a VM concludes from refusals alone.
+//! Tests of the admitted share as a function of the engines' fullness, and of fullness estimated from refusals.
 
-use sillbank_admission::evidence::RefusalShare;
-use sillbank_admission::level::Level;
+use sillbank_admission::refusal_ratio::RefusalRatio;
+use sillbank_admission::share_controller::ShareController;
 use sillbank_testing::for_fixed_seeds;
 use std::time::{Duration, Instant};
 
-const NEWS: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The share after so many equal news.
-fn share_after(news: u32, each: Duration, fullness: f64) -> f64 {
+/// The share after a number of equal reports at an interval.
+fn share_after(reports: u32, interval: Duration, fullness: f64) -> f64 {
     let start = Instant::now();
-    let mut level = Level::default();
-    (0..news).for_each(|number| level.on_fullness(start + each * number, fullness));
-    level.share()
+    let mut controller = ShareController::default();
+    (0..reports).for_each(|number| controller.update(start + interval * number, fullness));
+    controller.share()
 }
 
+/// A VM without any observation admits every request.
 #[test]
-fn a_vm_that_knows_nothing_lets_everybody_in() {
-    assert_eq!(Level::default().share(), 1.0);
+fn new_controller_admits_every_request() {
+    assert_eq!(ShareController::default().share(), 1.0);
 }
 
+/// Full engines reduce the share, and free capacity restores it.
 #[test]
-fn full_engines_close_and_engines_with_room_open() {
+fn share_falls_when_engines_are_full_and_recovers_with_free_capacity() {
     let start = Instant::now();
-    let mut level = Level::default();
+    let mut controller = ShareController::default();
     let mut share_after = |seconds: std::ops::Range<u32>, fullness| {
         (seconds.start * 4..seconds.end * 4)
-            .for_each(|number| level.on_fullness(start + NEWS * number, fullness));
-        level.share()
+            .for_each(|number| controller.update(start + REPORT_INTERVAL * number, fullness));
+        controller.share()
     };
 
     let closed = share_after(0..10, 1.0);
@@ -37,9 +39,9 @@
     assert_eq!(opened, 1.0);
 }
 
-/// A VM that gets a request each three seconds takes part in holding back like the others.
+/// A VM that gets one request every three seconds sheds load like the others.
 #[test]
-fn a_vm_that_is_asked_seldom_closes_too() {
+fn vm_with_few_requests_reduces_its_share_too() {
     let share = share_after(10, Duration::from_secs(3), 1.0);
 
     assert!(share < 0.3, "{share}");
@@ -47,90 +49,97 @@
 
 /// An hour without a request counts for no more than some seconds of an overload.
 #[test]
-fn a_long_quiet_time_does_not_close_at_once() {
+fn share_does_not_collapse_after_a_long_idle_time() {
     let share = share_after(2, Duration::from_secs(3_600), 1.0);
 
     assert!(share > 0.3, "{share}");
 }
 
+/// Several reports of the same moment change the share only once.
 #[test]
-fn news_of_the_same_moment_count_once() {
-    let (once, often) = (share_after(1, NEWS, 1.0), share_after(100, Duration::ZERO, 1.0));
+fn reports_of_the_same_moment_count_once() {
+    let (once, often) =
+        (share_after(1, REPORT_INTERVAL, 1.0), share_after(100, Duration::ZERO, 1.0));
 
     assert_eq!(once, often);
 }
 
+/// Values that are not finite are ignored.
 #[test]
-fn figures_that_are_no_numbers_close_nothing() {
-    for absurd in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        assert_eq!(share_after(40, NEWS, absurd), 1.0, "{absurd}");
+fn non_finite_fullness_is_ignored() {
+    for invalid in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
+        assert_eq!(share_after(40, REPORT_INTERVAL, invalid), 1.0, "{invalid}");
     }
 }
 
+/// The share stays between 0 and 1 for any input.
 #[test]
-fn the_share_stays_between_nothing_and_all_whatever_is_told() {
-    let absurd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1e300, 1e300, f64::MIN_POSITIVE];
+fn share_stays_within_bounds_for_any_input() {
+    let invalid = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1e300, 1e300, f64::MIN_POSITIVE];
     for_fixed_seeds(200, 512, |u| {
-        let (mut at, mut level) = (Instant::now(), Level::default());
+        let (mut at, mut controller) = (Instant::now(), ShareController::default());
         for _ in 0..40 {
             let fullness = match u.ratio(1, 4)? {
-                true => *u.choose(&absurd)?,
+                true => *u.choose(&invalid)?,
                 false => f64::from(u.int_in_range(0..=1_100_u32)?) / 1_000.0,
             };
             at += Duration::from_millis(u.int_in_range(0..=5_000)?);
 
-            level.on_fullness(at, fullness);
+            controller.update(at, fullness);
 
-            assert!((0.0..=1.0).contains(&level.share()), "{}", level.share());
+            assert!((0.0..=1.0).contains(&controller.share()), "{}", controller.share());
         }
         Ok(())
     });
 }
 
+/// Ten refusals show that engines are full; two are too few for a conclusion.
 #[test]
-fn refusals_tell_that_engines_are_full_and_two_of_them_do_not() {
+fn fullness_is_concluded_from_enough_refusals_only() {
     let now = Instant::now();
-    let (mut few, mut many) = (RefusalShare::default(), RefusalShare::default());
+    let (mut few, mut many) = (RefusalRatio::default(), RefusalRatio::default());
 
-    (0..2).for_each(|_| few.on_refused(now));
-    (0..10).for_each(|_| many.on_refused(now));
+    (0..2).for_each(|_| few.record_refused(now));
+    (0..10).for_each(|_| many.record_refused(now));
 
     assert!(few.fullness(now) < 0.8);
     assert_eq!(many.fullness(now), 1.0);
 }
 
+/// Old refusals lose their weight.
 #[test]
 fn refusals_are_forgotten_after_some_seconds() {
     let now = Instant::now();
-    let mut evidence = RefusalShare::default();
-    (0..10).for_each(|_| evidence.on_refused(now));
+    let mut ratio = RefusalRatio::default();
+    (0..10).for_each(|_| ratio.record_refused(now));
 
-    assert!(evidence.fullness(now + Duration::from_secs(6)) < 0.8);
+    assert!(ratio.fullness(now + Duration::from_secs(6)) < 0.8);
 }
 
+/// A call with an earlier time than the last one must not apply the decay twice.
 #[test]
-fn a_clock_that_is_read_late_does_not_forget_twice() {
+fn out_of_order_times_do_not_decay_twice() {
     let now = Instant::now();
     let later = now + Duration::from_secs(1);
-    let mut evidence = RefusalShare::default();
-    (0..4).for_each(|_| evidence.on_refused(later));
+    let mut ratio = RefusalRatio::default();
+    (0..4).for_each(|_| ratio.record_refused(later));
 
-    evidence.fullness(now);
+    ratio.fullness(now);
 
-    assert_eq!(evidence.fullness(later), 1.0);
+    assert_eq!(ratio.fullness(later), 1.0);
 }
 
-/// The load: a small fleet whose calm day has a crest that its engines just hold. Callers who were held back there
+/// Guards against refusals at the daily peak of a small fleet that its engines can just hold: the refused callers
 /// would have been served in time.
 #[test]
-fn a_crest_a_little_above_the_aim_holds_nobody_back() {
+fn peak_slightly_above_the_target_sheds_nothing() {
     let start = Instant::now();
-    let mut level = Level::default();
-    let crest = [0.85, 0.87, 0.89, 0.91, 0.93, 0.94, 0.93, 0.92, 0.90, 0.88];
+    let mut controller = ShareController::default();
+    let peak = [0.85, 0.87, 0.89, 0.91, 0.93, 0.94, 0.93, 0.92, 0.90, 0.88];
 
-    for (number, fullness) in crest.into_iter().enumerate() {
-        level.on_fullness(start + NEWS * number as u32, fullness);
+    for (number, fullness) in peak.into_iter().enumerate() {
+        controller.update(start + REPORT_INTERVAL * number as u32, fullness);
 
-        assert_eq!(level.share(), 1.0, "{fullness}");
+        assert_eq!(controller.share(), 1.0, "{fullness}");
     }
 }
--- a/crates/sillbank_entry/src/callers.rs
+++ b/crates/sillbank_entry/src/callers.rs
@@ -12,7 +12,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 use rustix::net::sockopt::set_socket_send_buffer_size;
-use sillbank_admission::{Ask, Reason};
+use sillbank_admission::{AdmissionRequest, RefusalReason};
 use sillbank_core::prelude::*;
 use sillbank_generation::Plan;
 use sillbank_net::failures::failure_reply;
@@ -338,7 +338,7 @@
         forecast: Forecast,
     ) -> Result<Self, Failure> {
         let policy = entry.tree.borrow().effective(&format!("organisation/{organisation}")).policy;
-        let ask = Ask {
+        let ask = AdmissionRequest {
             organisation,
             weight: policy.weight,
             work_tokens,
@@ -350,11 +350,13 @@
         };
         entry.admission.borrow_mut().admit(&ask).map_err(|refused| {
             let reason = match refused.reason {
-                Reason::NoTime => "It cannot end in time now.",
-                Reason::TooManyTokens => "The VM has as many tokens in work as it may.",
-                Reason::TooManyRequests => "The organisation has as many requests as it may.",
+                RefusalReason::DeadlineUnreachable => "It cannot end in time now.",
+                RefusalReason::TooManyTokens => "The VM has as many tokens in work as it may.",
+                RefusalReason::TooManyRequests => {
+                    "The organisation has as many requests as it may."
+                }
             };
-            Failure::before_work(FailureKind::Overloaded, reason).retry_after(refused.come_back)
+            Failure::before_work(FailureKind::Overloaded, reason).retry_after(refused.retry_after)
         })?;
         entry.metrics.in_flight.inc();
         Ok(Self { entry: entry.clone(), organisation: organisation.to_owned(), work_tokens })
@@ -364,6 +366,6 @@
 impl Drop for Admitted {
     fn drop(&mut self) {
         self.entry.metrics.in_flight.dec();
-        self.entry.admission.borrow_mut().end(&self.organisation, self.work_tokens);
+        self.entry.admission.borrow_mut().release(&self.organisation, self.work_tokens);
     }
 }
--- a/crates/sillbank_entry/src/state.rs
+++ b/crates/sillbank_entry/src/state.rs
@@ -4,7 +4,7 @@
 use crate::engine_link::EngineLink;
 use crate::metrics::Metrics;
 use crate::stop::StopState;
-use sillbank_admission::Admission;
+use sillbank_admission::AdmissionControl;
 use sillbank_core::chance::Chance;
 use sillbank_net::prelude::*;
 use sillbank_protocol::platform::Version;
@@ -34,7 +34,7 @@
     pub(crate) metrics: Metrics,
     pub(crate) stop: StopState,
     pub(crate) claims: ControlClaims,
-    pub(crate) admission: RefCell<Admission>,
+    pub(crate) admission: RefCell<AdmissionControl>,
 }
 
 impl Entry {
--- a/crates/sillbank_gateway/src/call_book.rs
+++ b/crates/sillbank_gateway/src/call_book.rs
@@ -1,6 +1,6 @@
 //! What this VM has seen of the endpoints of plain services, by service.
 
-use sillbank_admission::calls::CallTimes;
+use sillbank_admission::calls::CallBalancer;
 use sillbank_core::prelude::*;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,12 +9,12 @@
 /// Times of answers and refusals of plain services' endpoints.
 #[derive(Debug, Default)]
 pub struct CallBook {
-    by_service: RefCell<HashMap<ServiceId, CallTimes>>,
+    by_service: RefCell<HashMap<ServiceId, CallBalancer>>,
 }
 
 impl CallBook {
     /// Looks at, or changes, what was seen of a service's endpoints.
-    pub fn with<T>(&self, service: &str, change: impl FnOnce(&mut CallTimes) -> T) -> T {
+    pub fn with<T>(&self, service: &str, change: impl FnOnce(&mut CallBalancer) -> T) -> T {
         let mut by_service = self.by_service.borrow_mut();
         if let Some(times) = by_service.get_mut(service) {
             return change(times);
@@ -48,12 +48,12 @@
 impl CallWatch<'_> {
     /// A whole answer came.
     pub fn on_answer(mut self) {
-        self.note(|times, endpoint, took, now| times.on_answer(endpoint, took, now));
+        self.note(|times, endpoint, took, now| times.record_answer(endpoint, took, now));
     }
 
     /// The endpoint had no room for it.
     pub fn on_full(mut self) {
-        self.note(|times, endpoint, _, now| times.on_full(endpoint, now));
+        self.note(|times, endpoint, _, now| times.record_full(endpoint, now));
     }
 
     /// It tells nothing of the endpoint's times: it did not arrive there.
@@ -61,7 +61,7 @@
         self.is_noted = true;
     }
 
-    fn note(&mut self, change: impl FnOnce(&mut CallTimes, &str, Duration, Instant)) {
+    fn note(&mut self, change: impl FnOnce(&mut CallBalancer, &str, Duration, Instant)) {
         let now = Instant::now();
         let took = now.saturating_duration_since(self.sent_at);
         self.book.with(self.service, |times| change(times, self.endpoint, took, now));
@@ -72,7 +72,7 @@
 impl Drop for CallWatch<'_> {
     fn drop(&mut self) {
         if !self.is_noted {
-            self.note(|times, endpoint, after, now| times.on_unanswered(endpoint, after, now));
+            self.note(|times, endpoint, after, now| times.record_unanswered(endpoint, after, now));
         }
     }
 }
--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -14,8 +14,8 @@
 use hyper::header::HOST;
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
-use sillbank_admission::returns::CallerMark;
-use sillbank_admission::returns::Refusal;
+use sillbank_admission::retry_after::CallerId;
+use sillbank_admission::retry_after::RefusedRequest;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_core::run::RunLog;
@@ -174,7 +174,7 @@
         match self.gateway.settings().mechanisms.return_times {
             true => {
                 let refusal =
-                    Refusal { rank: route.priority, time_left: route.timeout, caller: None };
+                    RefusedRequest { rank: route.priority, time_left: route.timeout, caller: None };
                 let now = Instant::now();
                 failure.retry_after(self.gateway.come_back_after(service, refusal, now))
             }
@@ -274,7 +274,7 @@
 }
 
 /// Key and connection of a request as one number.
-fn caller_mark(head: &CallerHead, parts: &Parts) -> Option<CallerMark> {
+fn caller_mark(head: &CallerHead, parts: &Parts) -> Option<CallerId> {
     let connection = parts.extensions.get::<ConnectionNumber>()?;
     let mut hasher = DefaultHasher::new();
     head.key.hash(&mut hasher);
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -15,7 +15,7 @@
 use hyper::Response;
 use hyper::body::Incoming;
 use sillbank_admission::calls::{
-    CallAsk, CallCandidate, CallChoice, CallRefusal, CallRefused, CallTimes,
+    CallBalancer, CallCandidate, CallDecision, CallRefusal, CallRefusalReason, CallRequest,
 };
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
@@ -92,7 +92,7 @@
         let choice = match choice {
             Ok(choice) => choice,
             Err(refused) => {
-                let least = withheld_for.filter(|_| refused.reason == CallRefusal::Withheld);
+                let least = withheld_for.filter(|_| refused.reason == CallRefusalReason::Withheld);
                 let failure = || not_before(refuse(gateway, job, refused), least);
                 return held.map(|whole| whole.reply).ok_or_else(failure);
             }
@@ -147,14 +147,14 @@
 fn refuse<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
-    refused: CallRefused,
+    refused: CallRefusal,
 ) -> Failure {
     let kind = KindLabel { kind: refused.reason.name() };
     gateway.metrics.calls_refused.get_or_create(&kind).inc();
     let failure = give_up(job.run.get(), FailureKind::NoChain, refused.reason.text());
     match failure.retry_after {
-        Some(_) if refused.reason != CallRefusal::NoEndpoint => {
-            failure.retry_after(refused.come_back)
+        Some(_) if refused.reason != CallRefusalReason::NoEndpoint => {
+            failure.retry_after(refused.retry_after)
         }
         _ => failure,
     }
@@ -263,7 +263,7 @@
     gateway: &Gateway<W, S>,
     job: &Job,
     tried: &[EndpointId],
-) -> Result<Choice, CallRefused> {
+) -> Result<Choice, CallRefusal> {
     let now = Instant::now();
     let settings = gateway.settings();
     let draw = || gateway.chance.fraction();
@@ -278,27 +278,27 @@
         }
         if let [only] = records.as_slice()
             && !tried.contains(&only.id)
-            && let Some(come_back) = gateway.kept_apart_for(job)
+            && let Some(retry_after) = gateway.kept_apart_for(job)
             && directory.usable_of(&job.service.name).filter(|r| takes_work(r)).count() == 1
         {
-            return Err(CallRefused { reason: CallRefusal::KeptApart, come_back });
+            return Err(CallRefusal { reason: CallRefusalReason::Isolated, retry_after });
         }
         let had_records = !records.is_empty();
         records.retain(|record| views.may_send(&record.id));
         if had_records && records.is_empty() {
-            let (reason, come_back) = (CallRefusal::Withheld, gateway.come_back(job));
-            return Err(CallRefused { reason, come_back });
+            let (reason, retry_after) = (CallRefusalReason::Withheld, gateway.come_back(job));
+            return Err(CallRefusal { reason, retry_after });
         }
         let candidates = records.iter().map(|record| CallCandidate {
             endpoint: &record.id,
-            is_home: record.hall == settings.hall,
+            is_local: record.hall == settings.hall,
             in_flight: gateway.book.in_flight(&record.id),
-            places: record.slots,
+            slots: record.slots,
         });
         let candidates: Vec<CallCandidate<'_>> = candidates.collect();
-        let ask = CallAsk {
+        let ask = CallRequest {
             time_left: job.time_left(now),
-            may_repeat: job.may_repeat(),
+            is_idempotent: job.may_repeat(),
             rank: job.priority(),
         };
         let choice = match settings.mechanisms.calls_in_time {
@@ -306,11 +306,11 @@
                 .call_book
                 .with(&job.service.name, |times| times.choose(&candidates, ask, now, draw)),
             // By what is in flight alone.
-            false => CallTimes::default().choose(&candidates, ask, now, draw),
+            false => CallBalancer::default().choose(&candidates, ask, now, draw),
         };
         match choice {
-            CallChoice::Refuse(refused) => Err(refused),
-            CallChoice::Send(at) => Ok(Choice {
+            CallDecision::Refuse(refused) => Err(refused),
+            CallDecision::Send(at) => Ok(Choice {
                 endpoint: records[at].id.clone(),
                 address: records[at].address,
                 has_other: records.len() > 1,
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -10,7 +10,7 @@
 use crate::job::Job;
 use crate::metrics::{DemandLabel, RateLabel};
 use crate::wire::Wire;
-use sillbank_admission::returns::{FleetFlow, Refusal, ReturnTimes};
+use sillbank_admission::retry_after::{FleetRates, RefusedRequest, RetryScheduler};
 use sillbank_core::prelude::*;
 use sillbank_demand::prelude::*;
 use sillbank_demand::{MAX_SERVICES, add_rates};
@@ -24,7 +24,7 @@
     counter: RefCell<DemandCounter>,
     sum: RefCell<DemandSum>,
     route_times: RefCell<RouteTimes>,
-    returns: RefCell<HashMap<ServiceId, ReturnTimes>>,
+    returns: RefCell<HashMap<ServiceId, RetryScheduler>>,
     /// Where this VM stands among those that tell their first callers to come back, from 0 to 1.
     phase: f64,
     is_told: Cell<bool>,
@@ -50,13 +50,13 @@
         &self,
         service: &str,
         now: Instant,
-        change: impl FnOnce(&mut ReturnTimes) -> T,
+        change: impl FnOnce(&mut RetryScheduler) -> T,
     ) -> T {
         let mut all = self.returns.borrow_mut();
         if let Some(returns) = all.get_mut(service) {
             return change(returns);
         }
-        let mut returns = ReturnTimes::new(now, self.phase);
+        let mut returns = RetryScheduler::new(now, self.phase);
         let answer = change(&mut returns);
         all.insert(service.to_owned(), returns);
         answer
@@ -115,7 +115,7 @@
     pub fn on_let_in(&self, job: &Job) {
         let now = Instant::now();
         self.load.on_sent(&job.service.name, true, now);
-        let note = |returns: &mut ReturnTimes| returns.on_let_in(now, job.priority());
+        let note = |returns: &mut RetryScheduler| returns.record_admitted(now, job.priority());
         self.demand.with_returns(&job.service.name, now, note);
         self.count_once(job, Event::LetIn);
     }
@@ -134,17 +134,25 @@
     /// When the caller of a request that is refused for want of room should come back.
     pub fn come_back(&self, job: &Job) -> Duration {
         let now = Instant::now();
-        let refusal =
-            Refusal { rank: job.priority(), time_left: job.time_left(now), caller: job.caller };
+        let refusal = RefusedRequest {
+            rank: job.priority(),
+            time_left: job.time_left(now),
+            caller: job.caller,
+        };
         self.come_back_after(&job.service.name, refusal, now)
     }
 
     /// When the caller of a refused request of a service should come back.
-    pub fn come_back_after(&self, service: &str, refusal: Refusal, now: Instant) -> Duration {
+    pub fn come_back_after(
+        &self,
+        service: &str,
+        refusal: RefusedRequest,
+        now: Instant,
+    ) -> Duration {
         let fleet = self.fleet_demand(service, now);
         let is_used = fleet.is_told && self.settings.borrow().mechanisms.fleet_demand;
-        let flow = is_used.then_some(FleetFlow { rates: &fleet.rates, vms: fleet.vms });
-        let tell = |returns: &mut ReturnTimes| returns.on_refused(now, refusal, flow);
+        let flow = is_used.then_some(FleetRates { rates: &fleet.rates, vms: fleet.vms });
+        let tell = |returns: &mut RetryScheduler| returns.schedule_retry(now, refusal, flow);
         self.demand.with_returns(service, now, tell)
     }
 
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -9,8 +9,8 @@
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, Request, Uri};
-use sillbank_admission::ladder::Urgency;
-use sillbank_admission::returns::CallerMark;
+use sillbank_admission::retry_after::CallerId;
+use sillbank_admission::shedding::Priority;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_core::run::RunLog;
@@ -61,7 +61,7 @@
     /// What its caller was likely to see, by its first send; `None` where that cannot be told.
     pub foretold: OnceCell<Option<Foretold>>,
     /// Key and connection that it came with, to tell callers who repeat at once.
-    pub caller: Option<CallerMark>,
+    pub caller: Option<CallerId>,
     /// Its fingerprint, once it was asked for.
     pub known_fingerprint: OnceCell<Fingerprint>,
     /// Whether it was counted as let in or refused.
@@ -144,8 +144,8 @@
     }
 
     /// How urgent it is beside others that ask for the same engines.
-    pub fn urgency(&self) -> Urgency {
-        Urgency { organisation: self.priority(), route: self.route.priority }
+    pub fn urgency(&self) -> Priority {
+        Priority { organisation: self.priority(), route: self.route.priority }
     }
 
     /// Its rank; 0 goes first.
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -7,10 +7,10 @@
 use crate::feed::EngineState;
 use crate::lives::may_be_current;
 use crate::paths::Views;
-use sillbank_admission::evidence::RefusalShare;
-use sillbank_admission::ladder::{Ladder, Rung, Urgency};
-use sillbank_admission::level::Level;
-use sillbank_admission::patience::UsualTime;
+use sillbank_admission::elapsed::ElapsedEstimator;
+use sillbank_admission::refusal_ratio::RefusalRatio;
+use sillbank_admission::share_controller::ShareController;
+use sillbank_admission::shedding::{Priority, PriorityClass, PriorityShedder};
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -40,7 +40,7 @@
     /// Route.
     pub route: &'a Route,
     /// How urgent the request is.
-    pub urgency: Urgency,
+    pub urgency: Priority,
     /// Time that its caller has left, if it told.
     pub left: Option<Duration>,
     /// A number that was drawn evenly from 0 to 1. The request is let in if it is below the share of its rung.
@@ -69,20 +69,20 @@
 #[derive(Debug, Default)]
 pub struct FleetLoad {
     services: RefCell<HashMap<ServiceId, ServiceLoad>>,
-    usual_times: RefCell<HashMap<RouteName, UsualTime>>,
+    usual_times: RefCell<HashMap<RouteName, ElapsedEstimator>>,
 }
 
 #[derive(Debug, Default)]
 struct ServiceLoad {
-    ladder: Ladder,
-    level: Level,
-    refusals: RefusalShare,
+    ladder: PriorityShedder,
+    level: ShareController,
+    refusals: RefusalRatio,
     /// Taken part of the engines, and when it was summed up.
     summed: Option<(Instant, f64)>,
     /// When somebody was held back last.
     held_back: Option<Instant>,
     /// When the log last told which rungs are held back, and the first of them.
-    logged: Option<(Instant, Option<Rung>)>,
+    logged: Option<(Instant, Option<PriorityClass>)>,
 }
 
 impl FleetLoad {
@@ -95,9 +95,9 @@
         let load = services.entry(ask.service.name.clone()).or_default();
         let fullness = load.fullness(views, ask);
         let is_late = self.is_late(ask, load.is_calm(views.now));
-        let rung = Rung { is_late, urgency: ask.urgency };
-        load.ladder.on_asked(views.now, rung);
-        let share = load.ladder.share(rung, load.level.share());
+        let rung = PriorityClass { is_late, priority: ask.urgency };
+        load.ladder.record_request(views.now, rung);
+        let share = load.ladder.admitted_share(rung, load.level.share());
         load.log(views.now, &ask.service.name, fullness);
         match share >= 1.0 || ask.draw < share {
             true => Ok(()),
@@ -120,8 +120,8 @@
             return;
         };
         match was_let_in {
-            true => load.refusals.on_let_in(now),
-            false => load.refusals.on_refused(now),
+            true => load.refusals.record_admitted(now),
+            false => load.refusals.record_refused(now),
         }
     }
 
@@ -136,9 +136,9 @@
         }
         let usual = usual_times.entry(ask.route.name.clone()).or_default();
         if is_calm {
-            usual.on_first_try(left);
+            usual.record_first_try(left);
         }
-        usual.waited(left) > ask.route.objective
+        usual.elapsed(left) > ask.route.objective
     }
 }
 
@@ -153,7 +153,7 @@
         }
         let told = fleet_room(views, ask.service, ask.figures).fullness();
         let fullness = told.unwrap_or_else(|| self.refusals.fullness(now));
-        self.level.on_fullness(now, fullness);
+        self.level.update(now, fullness);
         if self.level.share() < 1.0 {
             self.held_back = Some(now);
         }
@@ -169,7 +169,7 @@
     /// Tells when the first rung that is held back changed, at most once in a while.
     fn log(&mut self, now: Instant, service: &str, fullness: f64) {
         let share = self.level.share();
-        let held_back = self.ladder.first_held_back(share);
+        let held_back = self.ladder.first_shed_class(share);
         let (at, before) = self.logged.unwrap_or((now, None));
         self.logged = Some((at, before));
         if held_back == before || now.saturating_duration_since(at) < LOG_INTERVAL {
--- a/crates/sillbank_gateway/src/repeats.rs
+++ b/crates/sillbank_gateway/src/repeats.rs
@@ -18,12 +18,12 @@
     /// Counts a first send of a service's requests.
     pub fn count_first_send(&self, service: &str) {
         self.metrics.sends.get_or_create(&KindLabel { kind: "first" }).inc();
-        self.with_budget(service, |budget, now| budget.on_first(now));
+        self.with_budget(service, |budget, now| budget.record_first_send(now));
     }
 
     /// Draws a repeat from a service's budget.
     pub fn try_repeat(&self, service: &str) -> bool {
-        let fits = self.with_budget(service, |budget, now| budget.try_repeat(now));
+        let fits = self.with_budget(service, |budget, now| budget.try_retry(now));
         match fits {
             true => self.metrics.sends.get_or_create(&KindLabel { kind: "repeat" }).inc(),
             false => self.metrics.repeats_denied.inc(),
--- a/crates/sillbank_gateway/tests/call_book.rs
+++ b/crates/sillbank_gateway/tests/call_book.rs
@@ -1,6 +1,6 @@
 //! What is noted of a call that was sent, also if nobody waits for it any more.
 
-use sillbank_admission::calls::{CallAsk, CallCandidate, CallChoice};
+use sillbank_admission::calls::{CallCandidate, CallDecision, CallRequest};
 use sillbank_gateway::call_book::CallBook;
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 fn book() -> CallBook {
     let book = CallBook::default();
     let now = Instant::now();
-    book.with(SERVICE, |times| times.on_answer(QUICK, Duration::from_millis(20), now));
+    book.with(SERVICE, |times| times.record_answer(QUICK, Duration::from_millis(20), now));
     book
 }
 
@@ -23,12 +23,12 @@
 /// Whether a call with 800 ms left may go to the watched endpoint, asked as of a moment before anything was noted of
 /// it, so that nothing has aged however long the test takes.
 fn takes_calls(book: &CallBook, now: Instant) -> bool {
-    let watched = CallCandidate { endpoint: WATCHED, is_home: true, in_flight: 0, places: 6 };
-    let ask = CallAsk { time_left: Duration::from_millis(800), may_repeat: false, rank: 0 };
-    let choose = |times: &mut sillbank_admission::calls::CallTimes| {
+    let watched = CallCandidate { endpoint: WATCHED, is_local: true, in_flight: 0, slots: 6 };
+    let ask = CallRequest { time_left: Duration::from_millis(800), is_idempotent: false, rank: 0 };
+    let choose = |times: &mut sillbank_admission::calls::CallBalancer| {
         times.choose(&[watched], ask, now, || 0.5)
     };
-    book.with(SERVICE, choose) == CallChoice::Send(0)
+    book.with(SERVICE, choose) == CallDecision::Send(0)
 }
 
 #[test]
