--- a/crates/sillbank_gateway/src/feed/client.rs
+++ b/crates/sillbank_gateway/src/feed/client.rs
@@ -202,8 +202,11 @@
             Instant::now(),
         );
         let (now, parts_from) = (Instant::now(), ask_for.parts_from());
-        let told_limits =
-            gateway.pushback.borrow().witnessed_since(link.limits_told, MOST_LIMITS_TOLD, now);
+        let told_limits = gateway.pushback.borrow().observed_updates_since(
+            link.limits_told,
+            MOST_LIMITS_TOLD,
+            now,
+        );
         let ask = FeedAsk {
             vm: settings.vm.clone(),
             hall: settings.hall.clone(),
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -56,9 +56,9 @@
     /// Requests under which it saw endpoints end, as far as it has not told them yet.
     pub suspects: Vec<SuspectNews>,
     /// What endpoints told it of their limits, as far as it has not told that yet.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// What it, or as a leader its hall, would send to endpoints that name limits.
-    pub wants: Vec<Want>,
+    pub wants: Vec<RateDemand>,
 }
 
 /// What a leader's directory has that the asking VM lacks.
@@ -219,9 +219,9 @@
     /// Requests under which endpoints ended, as far as they are new to the asking VM.
     pub quarantine: QuarantineNews,
     /// What endpoints said of their limits, as far as it is new to the asking VM.
-    pub limits: LimitsNews,
+    pub limits: LimitUpdates,
     /// The asking VM's parts of limits, or those of its hall if it leads another one.
-    pub parts: Vec<PartNews>,
+    pub parts: Vec<RateLeaseGrant>,
 }
 
 impl FeedNews {
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -120,7 +120,7 @@
             MOST_SUSPECTS,
             now,
         ),
-        limits: gateway.pushback.borrow().news_since(
+        limits: gateway.pushback.borrow().updates_since(
             seen.map_or(0, |seen| seen.limits),
             MOST_LIMITS,
             now,
@@ -136,7 +136,7 @@
 ) -> bool {
     let newest = gateway.knowledge.endpoints(Directory::newest_change);
     let urgent = gateway.quarantine.borrow().newest_urgent();
-    let limits = gateway.pushback.borrow().newest();
+    let limits = gateway.pushback.borrow().newest_change();
     let is_new = |seen: SeenMark| {
         seen.endpoints != newest || seen.quarantine < urgent || seen.limits < limits
     };
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -73,7 +73,7 @@
     /// Endpoints that ended under requests.
     pub ends: EndedEndpoints,
     /// What endpoints asked of VMs in their answers.
-    pub pushback: RefCell<PushbackBook>,
+    pub pushback: RefCell<PushbackTracker>,
     /// What this VM has given away of their limits while it leads.
     pub limit_parts: LimitParts,
     /// Requests under which endpoints ended.
--- a/crates/sillbank_gateway/src/limit_parts.rs
+++ b/crates/sillbank_gateway/src/limit_parts.rs
@@ -7,7 +7,7 @@
 use crate::gateway::Gateway;
 use crate::wire::Wire;
 use sillbank_core::prelude::*;
-use sillbank_pushback::PART_TERM;
+use sillbank_pushback::RATE_LEASE_TERM;
 use sillbank_pushback::prelude::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,9 +16,9 @@
 /// What a VM divides while it leads.
 #[derive(Debug, Default)]
 pub struct LimitParts {
-    divider: RefCell<Divider>,
+    divider: RefCell<LimitAllocator>,
     /// This hall's parts of the limits of endpoints in other halls.
-    of_hall: RefCell<BTreeMap<EndpointId, Part>>,
+    of_hall: RefCell<BTreeMap<EndpointId, RateLease>>,
 }
 
 /// Whom an ask for parts goes to.
@@ -35,11 +35,11 @@
     pub fn keep_divider(&self, now: Instant) {
         let mut divider = self.limit_parts.divider.borrow_mut();
         if self.hall.tells.get().is_none() {
-            divider.end();
+            divider.stop();
             self.limit_parts.of_hall.borrow_mut().clear();
             return;
         }
-        divider.begin(now);
+        divider.start(now);
         let pushback = self.pushback.borrow();
         divider.retain(|endpoint| pushback.limit_per_s(endpoint).is_some(), now);
         let mut of_hall = self.limit_parts.of_hall.borrow_mut();
@@ -51,46 +51,46 @@
     }
 
     /// What this VM has to divide of an endpoint's limit while it leads.
-    fn total(&self, endpoint: &str, now: Instant) -> Option<Part> {
+    fn total(&self, endpoint: &str, now: Instant) -> Option<RateLease> {
         let limit_per_s = self.pushback.borrow().limit_per_s(endpoint)?;
         if self.hall_of(endpoint)? == self.settings.borrow().hall {
-            return Some(Part { per_s: limit_per_s, until: now + PART_TERM });
+            return Some(RateLease { per_s: limit_per_s, until: now + RATE_LEASE_TERM });
         }
         let of_hall = self.limit_parts.of_hall.borrow().get(endpoint).copied();
         of_hall.filter(|part| now < part.until)
     }
 
     /// Who asks; `None` if it asks for what another leader divides.
-    fn asker(&self, ask: &FeedAsk, endpoint: &str) -> Option<Asker> {
+    fn asker(&self, ask: &FeedAsk, endpoint: &str) -> Option<Requester> {
         let own = self.settings.borrow().hall.clone();
         if ask.hall == own {
-            return Some(Asker::Vm(ask.vm.clone()));
+            return Some(Requester::Vm(ask.vm.clone()));
         }
-        (self.hall_of(endpoint)? == own).then(|| Asker::Hall(ask.hall.clone()))
+        (self.hall_of(endpoint)? == own).then(|| Requester::Hall(ask.hall.clone()))
     }
 
     /// Whether an ask wants a part that it can be given and has not been given yet.
     pub fn owes_part(&self, ask: &FeedAsk, now: Instant) -> bool {
         let divider = self.limit_parts.divider.borrow();
-        divider.divides(now)
+        divider.is_active(now)
             && ask.wants.iter().any(|want| {
                 let asker = self.asker(ask, &want.endpoint);
-                let is_given = |asker| divider.has_given(&want.endpoint, &asker, now);
+                let is_given = |asker| divider.has_allocated(&want.endpoint, &asker, now);
                 self.total(&want.endpoint, now).is_some()
                     && asker.is_some_and(|asker| !is_given(asker))
             })
     }
 
     /// Notes what an ask wants, and answers the parts that it gets.
-    pub fn give_parts(&self, ask: &FeedAsk, now: Instant) -> Vec<PartNews> {
+    pub fn give_parts(&self, ask: &FeedAsk, now: Instant) -> Vec<RateLeaseGrant> {
         if self.hall.tells.get().is_none() {
             return Vec::new();
         }
-        let give = |want: &Want| {
+        let give = |want: &RateDemand| {
             let asker = self.asker(ask, &want.endpoint)?;
             let part = self.divide(&want.endpoint, &asker, want.per_s, now)?;
             let valid_ms = part.until.saturating_duration_since(now).as_millis() as u64;
-            Some(PartNews { endpoint: want.endpoint.clone(), per_s: part.per_s, valid_ms })
+            Some(RateLeaseGrant { endpoint: want.endpoint.clone(), per_s: part.per_s, valid_ms })
         };
         ask.wants.iter().filter_map(give).collect()
     }
@@ -98,16 +98,16 @@
     fn divide(
         &self,
         endpoint: &str,
-        asker: &Asker,
+        asker: &Requester,
         wanted_per_s: f64,
         now: Instant,
-    ) -> Option<Part> {
+    ) -> Option<RateLease> {
         let total = self.total(endpoint, now);
         let mut divider = self.limit_parts.divider.borrow_mut();
         match total {
-            Some(total) => divider.divide(endpoint, asker, wanted_per_s, total, now),
+            Some(total) => divider.allocate(endpoint, asker, wanted_per_s, total, now),
             None => {
-                divider.note_want(endpoint, asker, wanted_per_s, now);
+                divider.record_demand(endpoint, asker, wanted_per_s, now);
                 None
             }
         }
@@ -118,39 +118,41 @@
         if self.hall.tells.get().is_none() {
             return;
         }
-        let asker = Asker::Vm(self.settings.borrow().vm.clone());
-        let wants = self.pushback.borrow().wants(now);
+        let asker = Requester::Vm(self.settings.borrow().vm.clone());
+        let wants = self.pushback.borrow().rate_demands(now);
         for want in wants {
             if let Some(part) = self.divide(&want.endpoint, &asker, want.per_s, now) {
-                self.pushback.borrow_mut().take_part(&want.endpoint, part);
+                self.pushback.borrow_mut().set_lease(&want.endpoint, part);
             }
         }
     }
 
     /// What an ask says that this VM, or as a leader its hall, would send.
-    pub(crate) fn wants_of(&self, from: &PartsFrom, now: Instant) -> Vec<Want> {
+    pub(crate) fn wants_of(&self, from: &PartsFrom, now: Instant) -> Vec<RateDemand> {
         let pushback = self.pushback.borrow();
         match from {
-            _ if pushback.limited() == 0 => Vec::new(),
-            PartsFrom::OwnLeader => pushback.wants(now),
+            _ if pushback.limited_count() == 0 => Vec::new(),
+            PartsFrom::OwnLeader => pushback.rate_demands(now),
             PartsFrom::Hall(hall) => {
                 let divider = self.limit_parts.divider.borrow();
                 let in_hall = pushback.limited_endpoints();
                 let in_hall = in_hall.filter(|id| self.hall_of(id).as_ref() == Some(hall));
-                let wants = in_hall
-                    .map(|id| Want { endpoint: id.clone(), per_s: divider.wanted_per_s(id, now) });
+                let wants = in_hall.map(|id| RateDemand {
+                    endpoint: id.clone(),
+                    per_s: divider.demand_per_s(id, now),
+                });
                 wants.filter(|want| want.per_s > 0.0).collect()
             }
         }
     }
 
     /// Takes the parts that a leader gave with an answer that was made at `given_at` or later.
-    pub fn take_parts(&self, parts: &[PartNews], from: &PartsFrom, given_at: Instant) {
+    pub fn take_parts(&self, parts: &[RateLeaseGrant], from: &PartsFrom, given_at: Instant) {
         if parts.is_empty() || self.knowledge.was_suspended_since(given_at) {
             return;
         }
         for news in parts {
-            let valid = Duration::from_millis(news.valid_ms).min(PART_TERM);
+            let valid = Duration::from_millis(news.valid_ms).min(RATE_LEASE_TERM);
             if !(news.per_s.is_finite() && news.per_s >= 0.0) {
                 let (endpoint, per_s) = (&news.endpoint, news.per_s);
                 tracing::warn!(
@@ -161,10 +163,10 @@
                 continue;
             }
             let Some(until) = given_at.checked_add(valid) else { continue };
-            let part = Part { per_s: news.per_s, until };
+            let part = RateLease { per_s: news.per_s, until };
             match from {
                 PartsFrom::OwnLeader => {
-                    self.pushback.borrow_mut().take_part(&news.endpoint, part);
+                    self.pushback.borrow_mut().set_lease(&news.endpoint, part);
                 }
                 PartsFrom::Hall(_) => {
                     self.limit_parts.of_hall.borrow_mut().insert(news.endpoint.clone(), part);
--- a/crates/sillbank_gateway/src/lives.rs
+++ b/crates/sillbank_gateway/src/lives.rs
@@ -39,7 +39,7 @@
             self.book.on_new_life(&id, now);
             self.channels.forget(&id);
             self.heard.on_new_life(&id);
-            self.pushback.borrow_mut().on_new_life(&id);
+            self.pushback.borrow_mut().on_restart(&id);
             self.call_book.retain(|known| known != id);
             self.hall.boards.on_new_life(&id, newest_life);
             self.metrics.renewed_endpoints.inc();
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -162,7 +162,7 @@
     /// Endpoints as seen.
     pub book: &'a EndpointBook,
     /// What endpoints asked of VMs.
-    pub pushback: &'a RefCell<PushbackBook>,
+    pub pushback: &'a RefCell<PushbackTracker>,
     /// Which mechanisms are on.
     pub mechanisms: Mechanisms,
     /// What chance adds to costs is drawn here.
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -39,26 +39,26 @@
     }
 
     /// Another VM told what endpoints said of their limits. What an older life said holds no more.
-    pub fn on_told_limits(&self, limits: &[LimitNews], from: &'static str) {
+    pub fn on_told_limits(&self, limits: &[LimitUpdate], from: &'static str) {
         if limits.is_empty() || !self.keeps_pushback() {
             return;
         }
-        let is_current = |told: &&LimitNews| {
+        let is_current = |told: &&LimitUpdate| {
             self.knowledge.endpoints(|directory| {
                 let newest_life = directory.newest_life(&told.endpoint);
                 directory.get(&told.endpoint).is_some()
                     && crate::lives::may_be_current(told.born_ms, newest_life)
             })
         };
-        let limits: Vec<LimitNews> = limits.iter().filter(is_current).cloned().collect();
+        let limits: Vec<LimitUpdate> = limits.iter().filter(is_current).cloned().collect();
         let (draw, now) = (|| self.chance.fraction(), Instant::now());
-        let events = self.pushback.borrow_mut().on_told(&limits, draw, now);
+        let events = self.pushback.borrow_mut().on_reported(&limits, draw, now);
         self.on_pushback_events(&events, from);
     }
 
     /// A request is sent to an endpoint.
     pub fn count_against_limit(&self, endpoint: &str) {
-        self.pushback.borrow_mut().on_sent(endpoint, Instant::now());
+        self.pushback.borrow_mut().record_send(endpoint, Instant::now());
     }
 
     /// Logs and counts the endpoints that a request was not sent to as they asked for it; answers after what time the
@@ -73,7 +73,7 @@
             self.metrics.withheld.get_or_create(&kind).inc();
             self.decisions.withheld(job, withheld);
         }
-        all.iter().filter_map(|withheld| withheld.reason.ends_in()).min()
+        all.iter().filter_map(|withheld| withheld.reason.retry_after()).min()
     }
 
     /// Brings the gauges of what endpoints ask up to date.
@@ -82,9 +82,9 @@
         let set = |kind: &'static str, endpoints: usize| {
             self.metrics.pushback.get_or_create(&KindLabel { kind }).set(endpoints as i64);
         };
-        set("limit", pushback.limited());
-        set("rest", pushback.resting());
-        set("leaving", pushback.leaving());
+        set("limit", pushback.limited_count());
+        set("rest", pushback.paused_count());
+        set("leaving", pushback.leaving_count());
     }
 
     fn on_pushback_events(&self, events: &[(EndpointId, PushbackEvent)], from: &'static str) {
@@ -103,7 +103,7 @@
                         "pushback: An endpoint names no limit any more."
                     );
                 }
-                PushbackEvent::Rests(rest) => {
+                PushbackEvent::Paused(rest) => {
                     let rest_ms = rest.as_millis() as u64;
                     tracing::info!(endpoint, rest_ms, "pushback: An endpoint asks for rest.");
                 }
@@ -141,7 +141,7 @@
         if gateway.pushback.borrow().is_empty() {
             continue;
         }
-        let lapsed = gateway.pushback.borrow_mut().on_time(now);
+        let lapsed = gateway.pushback.borrow_mut().expire(now);
         gateway.on_pushback_events(&lapsed, "time");
         gateway.show_pushback();
         gateway.take_own_parts(now);
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -76,7 +76,7 @@
     hall: Hall,
     chance: Chance,
     book: EndpointBook,
-    pushback: RefCell<PushbackBook>,
+    pushback: RefCell<PushbackTracker>,
     load: FleetLoad,
     service: Service,
     route: Route,
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -102,7 +102,7 @@
     knowledge: Knowledge,
     hall: Hall,
     book: Rc<EndpointBook>,
-    pushback: RefCell<PushbackBook>,
+    pushback: RefCell<PushbackTracker>,
     chance: Chance,
 }
 
@@ -374,7 +374,10 @@
     let vm = Vm::new(&chance());
     vm.knows(&records);
     vm.hall.boards.keep(now, board(HOME, records.iter().map(idle).collect()));
-    let rest = Pushback { rest: RestWord::For(Duration::from_secs(3)), ..Pushback::default() };
+    let rest = Pushback {
+        retry_after: RetryAfterSignal::For(Duration::from_secs(3)),
+        ..Pushback::default()
+    };
     for engine in ["near", "last"] {
         vm.pushback.borrow_mut().on_answer(engine, None, rest, 0.5, now);
     }
--- a/crates/sillbank_pushback/src/lib.rs
+++ b/crates/sillbank_pushback/src/lib.rs
@@ -1,38 +1,40 @@
-//! What endpoints ask of VMs in their answers, and how VMs keep it together.
+//! Pushback: what endpoints ask of VMs in their answers, and how VMs comply with it together.
 //!
-//! An endpoint may turn a VM away and ask it for rest, and one that leaves says so. Each VM keeps to what it was told itself.
+//! An endpoint may refuse a VM and ask it to pause, and an endpoint that leaves announces it. Each VM follows what it
+//! was told itself.
 //!
-//! An endpoint in need names the requests a second that it takes from all VMs together. The limit is divided by a leader
-//! among the VMs that want to send, by what they want; a VM sends by the permits that its part opens. A part is a lease: it
-//! ends after a term unless it is renewed, and what it had counts as in use until then. So the parts that are in force never
-//! pass the limit, in whatever order news come.
+//! An overloaded endpoint sets a rate limit in requests per second for all VMs together. A leader allocates the
+//! limit to the VMs that want to send, by their demand. A VM sends when its rate lease opens a permit. A rate lease
+//! ends after a term unless it is renewed, and counts as in use until then. So the leases in force never exceed the
+//! limit, in whatever order updates arrive.
 //!
-//! - [`PushbackBook`] holds what a VM knows of endpoints that asked for something: the one place that whoever sends asks.
-//! - [`Divider`] holds what a leader has given away.
+//! - [`PushbackTracker`] holds what a VM knows about endpoints that sent pushback; all senders consult it.
+//! - [`LimitAllocator`] holds the leases that a leader has granted.
 //!
-//! Pure: no sockets, no clock, no threads.
+//! This crate is pure: it uses no sockets, clock or threads.
 
 #![forbid(unsafe_code)]
 
-mod book;
-mod division;
+mod allocation;
 mod limits;
-mod news;
 mod permits;
 mod reason;
-mod wanted;
-mod word;
+mod request_rate;
+mod signal;
+mod tracker;
+mod updates;
 
-pub use book::PushbackBook;
-pub use division::{Asker, Divider, PART_TERM, Part};
-pub use news::{ChangeNumber, LimitNews, LimitsNews, PartNews, Want};
+pub use allocation::{LimitAllocator, RATE_LEASE_TERM, RateLease, Requester};
 pub use reason::{PushbackEvent, Withheld, WithheldReason};
-pub use word::{LimitWord, Pushback, RestWord};
+pub use signal::{LimitSignal, Pushback, RetryAfterSignal};
+pub use tracker::PushbackTracker;
+pub use updates::{ChangeNumber, LimitUpdate, LimitUpdates, RateDemand, RateLeaseGrant};
 
-/// The few types most users need.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{
-        Asker, Divider, LimitNews, LimitWord, LimitsNews, Part, PartNews, Pushback, PushbackBook,
-        PushbackEvent, RestWord, Want, Withheld,
+        LimitAllocator, LimitSignal, LimitUpdate, LimitUpdates, Pushback, PushbackEvent,
+        PushbackTracker, RateDemand, RateLease, RateLeaseGrant, Requester, RetryAfterSignal,
+        Withheld,
     };
 }
--- a/crates/sillbank_pushback/src/reason.rs
+++ b/crates/sillbank_pushback/src/reason.rs
@@ -1,74 +1,74 @@
-//! What changed in what endpoints ask, and why a request is not sent to one.
+//! Changes of known pushback, and the reasons why requests are withheld from endpoints.
 
 use sillbank_core::prelude::EndpointId;
 use std::time::Duration;
 
-/// A change of what is known, for logs.
+/// A change of the known pushback, for logs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PushbackEvent {
-    /// An endpoint names a limit, or another one than before, in requests a second.
+    /// An endpoint set a limit or changed it, in requests per second.
     Limited(f64),
-    /// An endpoint that named one takes what comes again.
+    /// An endpoint revoked its limit.
     Unlimited,
-    /// No VM has heard of an endpoint's limit for so long that it holds no more.
+    /// A limit expired because no VM has received it for long.
     Lapsed,
-    /// An endpoint turned this VM away and wants nothing from it for so long.
-    Rests(Duration),
-    /// An endpoint says that it leaves.
+    /// An endpoint refused this VM and asked it to pause for this time.
+    Paused(Duration),
+    /// An endpoint announced that it leaves.
     Leaves,
-    /// An endpoint asked for something that cannot be read: for what.
+    /// A value sent by an endpoint could not be parsed; contains its name.
     Unreadable(&'static str),
 }
 
-/// An endpoint that a request was not sent to.
+/// An endpoint from which a request was withheld.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Withheld {
     /// Endpoint.
     pub endpoint: EndpointId,
-    /// Why.
+    /// Reason.
     pub reason: WithheldReason,
 }
 
-/// Why a request is not sent to an endpoint.
+/// Reason why a request is withheld from an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WithheldReason {
-    /// Its limit leaves no permit to this VM at the moment.
+    /// The endpoint's limit leaves no permit to this VM at the moment.
     Limit {
-        /// Requests a second that the endpoint takes from all VMs.
+        /// Requests per second that the endpoint accepts from all VMs.
         limit_per_s: f64,
-        /// Requests a second of this VM.
-        part_per_s: f64,
-        /// Whether a leader gave this part.
-        is_given: bool,
-        /// Time since the limit was heard.
+        /// Requests per second of this VM.
+        lease_per_s: f64,
+        /// Whether this rate is from a lease granted by a leader.
+        is_leased: bool,
+        /// Time since the limit was received.
         age: Duration,
     },
-    /// It turned this VM away and wants nothing from it yet.
-    Rest {
-        /// Time that is left of its rest.
+    /// The endpoint refused this VM and its pause is not over.
+    Paused {
+        /// Remaining time of the pause.
         left: Duration,
     },
-    /// It says that it leaves.
+    /// The endpoint announced that it leaves.
     Leaving {
-        /// Time since it last said so.
+        /// Time since the last announcement.
         age: Duration,
     },
 }
 
 impl WithheldReason {
-    /// Name in metrics.
+    /// Name of the reason in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Limit { .. } => "limit",
-            Self::Rest { .. } => "rest",
+            Self::Paused { .. } => "rest",
             Self::Leaving { .. } => "leaving",
         }
     }
 
-    /// Time after which a request may be sent there again, if that is known.
-    pub fn ends_in(&self) -> Option<Duration> {
+    /// Time after which a request may be sent again, if known.
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::Rest { left } => Some(*left),
+            Self::Paused { left } => Some(*left),
             Self::Limit { .. } | Self::Leaving { .. } => None,
         }
     }
@@ -77,17 +77,17 @@
 impl std::fmt::Display for WithheldReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Limit { limit_per_s, part_per_s, is_given, age } => {
-                let from = if *is_given { "given by the leader" } else { "without a leader" };
+            Self::Limit { limit_per_s, lease_per_s, is_leased, age } => {
+                let from = if *is_leased { "leased from the leader" } else { "without a lease" };
                 let age_ms = age.as_millis();
-                write!(f, "its limit is {limit_per_s:.2} a second, heard {age_ms} ms ago; ")?;
-                write!(f, "this VM's part is {part_per_s:.2}, {from}")
+                write!(f, "its limit is {limit_per_s:.2} requests/s, received {age_ms} ms ago; ")?;
+                write!(f, "this VM's rate is {lease_per_s:.2} requests/s, {from}")
             }
-            Self::Rest { left } => {
-                write!(f, "it turned this VM away and rests for {} ms more", left.as_millis())
+            Self::Paused { left } => {
+                write!(f, "it refused this VM and stays paused for {} ms", left.as_millis())
             }
             Self::Leaving { age } => {
-                write!(f, "it said {} ms ago that it leaves", age.as_millis())
+                write!(f, "it announced {} ms ago that it leaves", age.as_millis())
             }
         }
     }
--- a/crates/sillbank_pushback/tests/division.rs
+++ b/crates/sillbank_pushback/tests/division.rs
@@ -1,147 +1,155 @@
-//! Parts of a limit: who gets them, and that those in force never pass the limit, in whatever order asks come.
+//! Tests of the allocation of a limit: who gets a lease, and that leases in force never exceed the limit, in whatever
+//! order requests arrive.
 
 use sillbank_core::prelude::VmId;
-use sillbank_pushback::{PART_TERM, prelude::*};
+use sillbank_pushback::{RATE_LEASE_TERM, prelude::*};
 use sillbank_testing::for_fixed_seeds;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 const ENDPOINT: &str = "e1";
-/// How often a VM asks at the least.
-const ASK: Duration = Duration::from_millis(400);
-/// Difference that rounding makes.
+/// Longest interval at which a VM requests its lease.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
+/// Tolerance for rounding errors.
 const ROUNDING: f64 = 1e-6;
 
-fn vm(number: usize) -> Asker {
-    Asker::Vm(VmId::from(format!("g{number}")))
+fn vm(number: usize) -> Requester {
+    Requester::Vm(VmId::from(format!("g{number}")))
 }
 
-/// A divider that has divided for long.
-fn divider(now: Instant) -> Divider {
-    let mut divider = Divider::default();
-    divider.begin(now.checked_sub(PART_TERM).expect("the clock began before"));
-    divider
+/// An allocator that is active.
+fn allocator(now: Instant) -> LimitAllocator {
+    let mut allocator = LimitAllocator::default();
+    allocator.start(now.checked_sub(RATE_LEASE_TERM).expect("the clock started earlier"));
+    allocator
 }
 
-fn limit(per_s: f64, now: Instant) -> Part {
-    Part { per_s, until: now + PART_TERM }
+fn limit(per_s: f64, now: Instant) -> RateLease {
+    RateLease { per_s, until: now + RATE_LEASE_TERM }
 }
 
-/// What askers have in the end that want so much all the time.
-fn settled(limit_per_s: f64, wanted: &[f64]) -> Vec<f64> {
+/// Leased rates of requesters with a constant demand, after they have settled.
+fn settled(limit_per_s: f64, demand: &[f64]) -> Vec<f64> {
     let mut now = Instant::now();
-    let mut divider = divider(now);
-    let mut parts = vec![0.0; wanted.len()];
+    let mut allocator = allocator(now);
+    let mut leases = vec![0.0; demand.len()];
     for _ in 0..20 {
-        now += ASK;
-        for (number, wanted_per_s) in wanted.iter().enumerate() {
+        now += REQUEST_INTERVAL;
+        for (number, demand_per_s) in demand.iter().enumerate() {
             let total = limit(limit_per_s, now);
-            let part = divider.divide(ENDPOINT, &vm(number), *wanted_per_s, total, now);
-            parts[number] = part.expect("it divides").per_s;
+            let lease = allocator.allocate(ENDPOINT, &vm(number), *demand_per_s, total, now);
+            leases[number] = lease.expect("it is active").per_s;
         }
     }
-    parts
+    leases
 }
 
-/// Parts in force, by asker; a part ends one that it renews only if it is at least as large.
+/// Leases in force by requester. A lease replaces an earlier one only if it is at least as large.
 #[derive(Default)]
-struct InForce(BTreeMap<Asker, Vec<Part>>);
+struct InForce(BTreeMap<Requester, Vec<RateLease>>);
 
 impl InForce {
-    fn take(&mut self, asker: Asker, part: Part) {
-        self.0.entry(asker).or_default().push(part);
+    fn add(&mut self, requester: Requester, lease: RateLease) {
+        self.0.entry(requester).or_default().push(lease);
     }
 
-    /// All parts together if each asker went on with its largest.
+    /// Sum over all requesters if each uses its largest lease.
     fn sum(&self, now: Instant) -> f64 {
-        let largest = |parts: &Vec<Part>| {
-            let live = parts.iter().filter(|part| now < part.until);
-            live.map(|part| part.per_s).fold(0.0, f64::max)
+        let largest = |leases: &Vec<RateLease>| {
+            let live = leases.iter().filter(|lease| now < lease.until);
+            live.map(|lease| lease.per_s).fold(0.0, f64::max)
         };
         self.0.values().map(largest).sum()
     }
 }
 
+/// Every requester gets its demand if that fits, and the remainder is divided evenly.
 #[test]
-fn each_gets_what_it_wants_while_that_fits_and_the_rest_in_equal_parts() {
+fn demand_is_met_and_the_remainder_divided_evenly() {
     assert_eq!(settled(10.0, &[2.0, 4.0]), [4.0, 6.0]);
 }
 
+/// A requester with a small demand gets it in full beside large ones.
 #[test]
-fn who_wants_much_takes_nothing_from_who_wants_little() {
-    let parts = settled(6.0, &[1.0, 20.0, 20.0]);
+fn large_demand_takes_nothing_from_a_small_one() {
+    let leases = settled(6.0, &[1.0, 20.0, 20.0]);
 
-    assert_eq!(parts, [1.0, 2.5, 2.5]);
+    assert_eq!(leases, [1.0, 2.5, 2.5]);
 }
 
+/// A limit with fewer minimum leases than requesters goes to those with the largest demand, and is allocated in full.
 #[test]
-fn a_limit_with_room_for_few_goes_to_those_that_want_most_and_is_given_whole() {
-    let parts = settled(3.4, &[1.0, 9.0, 8.0, 0.2, 7.0]);
+fn small_limit_goes_to_the_largest_demands() {
+    let leases = settled(3.4, &[1.0, 9.0, 8.0, 0.2, 7.0]);
 
-    assert_eq!((parts[0], parts[3]), (0.0, 0.0));
-    assert!((parts.iter().sum::<f64>() - 3.4).abs() < ROUNDING, "{parts:?}");
+    assert_eq!((leases[0], leases[3]), (0.0, 0.0));
+    assert!((leases.iter().sum::<f64>() - 3.4).abs() < ROUNDING, "{leases:?}");
 }
 
+/// A limit below the minimum lease goes to a single requester.
 #[test]
-fn a_limit_below_one_a_second_goes_to_one_of_nine() {
-    let mut parts = settled(0.3, &[2.0; 9]);
+fn limit_below_the_minimum_lease_goes_to_one_requester() {
+    let mut leases = settled(0.3, &[2.0; 9]);
 
-    parts.sort_by(f64::total_cmp);
-    assert_eq!(parts[8], 0.3);
-    assert!(parts[..8].iter().all(|part| *part == 0.0), "{parts:?}");
+    leases.sort_by(f64::total_cmp);
+    assert_eq!(leases[8], 0.3);
+    assert!(leases[..8].iter().all(|lease| *lease == 0.0), "{leases:?}");
 }
 
+/// The lease of a requester that falls silent is available to others after its term.
 #[test]
-fn the_part_of_one_that_falls_silent_goes_to_others_after_a_term() {
-    let began = Instant::now();
-    let mut divider = divider(began);
-    divider.divide(ENDPOINT, &vm(1), 9.0, limit(2.0, began), began);
-
-    let early = began + Duration::from_millis(100);
-    let late = began + PART_TERM;
-    let first = divider.divide(ENDPOINT, &vm(2), 9.0, limit(2.0, early), early);
-    let second = divider.divide(ENDPOINT, &vm(2), 9.0, limit(2.0, late), late);
-
-    assert_eq!(first.map(|part| part.per_s), Some(0.0));
-    assert_eq!(second.map(|part| part.per_s), Some(2.0));
+fn lease_of_a_silent_requester_is_reallocated_after_its_term() {
+    let start = Instant::now();
+    let mut allocator = allocator(start);
+    allocator.allocate(ENDPOINT, &vm(1), 9.0, limit(2.0, start), start);
+
+    let early = start + Duration::from_millis(100);
+    let late = start + RATE_LEASE_TERM;
+    let first = allocator.allocate(ENDPOINT, &vm(2), 9.0, limit(2.0, early), early);
+    let second = allocator.allocate(ENDPOINT, &vm(2), 9.0, limit(2.0, late), late);
+
+    assert_eq!(first.map(|lease| lease.per_s), Some(0.0));
+    assert_eq!(second.map(|lease| lease.per_s), Some(2.0));
 }
 
+/// A new allocator grants nothing for one term, in which leases of the previous one may be in use.
 #[test]
-fn one_that_begins_to_divide_gives_nothing_for_a_term() {
-    let began = Instant::now();
-    let mut divider = Divider::default();
-    divider.begin(began);
+fn new_allocator_grants_nothing_for_one_term() {
+    let start = Instant::now();
+    let mut allocator = LimitAllocator::default();
+    allocator.start(start);
 
-    let soon = began + PART_TERM - Duration::from_millis(1);
-    assert_eq!(divider.divide(ENDPOINT, &vm(1), 9.0, limit(2.0, soon), soon), None);
+    let soon = start + RATE_LEASE_TERM - Duration::from_millis(1);
+    assert_eq!(allocator.allocate(ENDPOINT, &vm(1), 9.0, limit(2.0, soon), soon), None);
 
-    let later = began + PART_TERM;
-    let part = divider.divide(ENDPOINT, &vm(1), 9.0, limit(2.0, later), later);
-    assert_eq!(part.map(|part| part.per_s), Some(2.0));
+    let later = start + RATE_LEASE_TERM;
+    let lease = allocator.allocate(ENDPOINT, &vm(1), 9.0, limit(2.0, later), later);
+    assert_eq!(lease.map(|lease| lease.per_s), Some(2.0));
 }
 
+/// Leases in force never exceed the limit while requesters come and go and leaders change.
 #[test]
-fn parts_in_force_never_pass_the_limit_while_askers_come_go_and_leaders_change() {
+fn leases_never_exceed_the_limit() {
     for_fixed_seeds(400, 1024, |u| {
         // Arrange
         let limit_per_s = f64::from(u.int_in_range(1..=80)?) / 10.0;
         let vms = u.int_in_range(1..=12)?;
         let mut now = Instant::now();
-        let mut divider = divider(now);
+        let mut allocator = allocator(now);
         let mut in_force = InForce::default();
 
         // Act and assert
         for _ in 0..u.int_in_range(1..=60)? {
             now += Duration::from_millis(u.int_in_range(0..=500)?);
             if u.ratio(1, 30)? {
-                divider = Divider::default();
-                divider.begin(now);
+                allocator = LimitAllocator::default();
+                allocator.start(now);
             }
-            let (asker, wanted) = (vm(u.int_in_range(1..=vms)?), u.int_in_range(0..=30)?);
+            let (requester, demand) = (vm(u.int_in_range(1..=vms)?), u.int_in_range(0..=30)?);
             let total = limit(limit_per_s, now);
-            let part = divider.divide(ENDPOINT, &asker, f64::from(wanted), total, now);
-            if let Some(part) = part {
-                in_force.take(asker, part);
+            let lease = allocator.allocate(ENDPOINT, &requester, f64::from(demand), total, now);
+            if let Some(lease) = lease {
+                in_force.add(requester, lease);
             }
             assert!(in_force.sum(now) <= limit_per_s + ROUNDING, "{}", in_force.sum(now));
         }
@@ -149,40 +157,41 @@
     });
 }
 
+/// Leases in force never exceed the limit when the leader of a hall allocates its lease further.
 #[test]
-fn nor_do_they_where_a_hall_divides_its_part_further() {
+fn leases_of_a_hall_never_exceed_the_limit() {
     for_fixed_seeds(400, 1024, |u| {
         // Arrange
         let limit_per_s = f64::from(u.int_in_range(1..=80)?) / 10.0;
         let mut now = Instant::now();
-        let (mut root, mut sub) = (divider(now), divider(now));
-        let hall = Asker::Hall("b".into());
-        let mut of_hall: Option<Part> = None;
+        let (mut root, mut sub) = (allocator(now), allocator(now));
+        let hall = Requester::Hall("b".into());
+        let mut hall_lease: Option<RateLease> = None;
         let mut in_force = InForce::default();
 
         // Act and assert
         for _ in 0..u.int_in_range(1..=80)? {
             now += Duration::from_millis(u.int_in_range(0..=400)?);
-            let (at, wanted) = (u.int_in_range(1..=4)?, f64::from(u.int_in_range(0..=30)?));
+            let (number, demand) = (u.int_in_range(1..=4)?, f64::from(u.int_in_range(0..=30)?));
             match u.int_in_range(0..=2)? {
                 0 => {
                     let total = limit(limit_per_s, now);
-                    let part = root.divide(ENDPOINT, &vm(at), wanted, total, now);
-                    in_force.take(vm(at), part.expect("it divides"));
+                    let lease = root.allocate(ENDPOINT, &vm(number), demand, total, now);
+                    in_force.add(vm(number), lease.expect("it is active"));
                 }
                 1 => {
                     let total = limit(limit_per_s, now);
-                    let wanted = sub.wanted_per_s(ENDPOINT, now);
-                    of_hall = root.divide(ENDPOINT, &hall, wanted, total, now);
+                    let demand = sub.demand_per_s(ENDPOINT, now);
+                    hall_lease = root.allocate(ENDPOINT, &hall, demand, total, now);
                 }
-                _ => match of_hall {
+                _ => match hall_lease {
                     Some(total) => {
-                        let part = sub.divide(ENDPOINT, &vm(10 + at), wanted, total, now);
-                        if let Some(part) = part {
-                            in_force.take(vm(10 + at), part);
+                        let lease = sub.allocate(ENDPOINT, &vm(10 + number), demand, total, now);
+                        if let Some(lease) = lease {
+                            in_force.add(vm(10 + number), lease);
                         }
                     }
-                    None => sub.note_want(ENDPOINT, &vm(10 + at), wanted, now),
+                    None => sub.record_demand(ENDPOINT, &vm(10 + number), demand, now),
                 },
             }
             assert!(in_force.sum(now) <= limit_per_s + ROUNDING, "{}", in_force.sum(now));
