--- a/crates/sillbank_gateway/src/feed/client.rs
+++ b/crates/sillbank_gateway/src/feed/client.rs
@@ -196,7 +196,7 @@
         };
         link.note_rereads(gateway.knowledge.rereads());
         let settings = gateway.settings();
-        let told = gateway.quarantine.borrow().witnessed_since(
+        let told = gateway.quarantine.borrow().observed_updates_since(
             link.suspects_told,
             MOST_SUSPECTS_TOLD,
             Instant::now(),
@@ -259,7 +259,7 @@
         let EndpointNews { at, difference } = endpoints;
         gateway.on_told_endpoints(&mut link.endpoints, at, difference, takes_endpoints);
     }
-    gateway.on_told_suspects(&news.quarantine.suspects, Teller::Leader);
+    gateway.on_told_suspects(&news.quarantine.suspects, UpdateSource::Leader);
     if gateway.hall.tells.get().is_none() {
         gateway.on_quarantine_known();
     }
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -54,7 +54,7 @@
     /// What it was asked for in the last second, told to the leader of its own hall.
     pub demand: Option<DemandReport>,
     /// Requests under which it saw endpoints end, as far as it has not told them yet.
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectUpdate>,
     /// What endpoints told it of their limits, as far as it has not told that yet.
     pub limits: Vec<LimitUpdate>,
     /// What it, or as a leader its hall, would send to endpoints that name limits.
@@ -217,7 +217,7 @@
     /// Engines of this hall and of others, as far as they are new to the asking VM.
     pub boards: Vec<HallBoard>,
     /// Requests under which endpoints ended, as far as they are new to the asking VM.
-    pub quarantine: QuarantineNews,
+    pub quarantine: QuarantineUpdate,
     /// What endpoints said of their limits, as far as it is new to the asking VM.
     pub limits: LimitUpdates,
     /// The asking VM's parts of limits, or those of its hall if it leads another one.
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -78,8 +78,8 @@
     }
     gateway.on_told_demand(ask, began);
     let teller = match ask.hall == gateway.settings().hall {
-        true => Teller::Member,
-        false => Teller::Leader,
+        true => UpdateSource::Member,
+        false => UpdateSource::Leader,
     };
     gateway.on_told_suspects(&ask.suspects, teller);
     gateway.on_told_limits(&ask.limits, "another VM");
@@ -115,7 +115,7 @@
         catalog: catalog.map(|parts| (*parts).clone()),
         endpoints: endpoint_news(gateway, seen),
         boards,
-        quarantine: gateway.quarantine.borrow().news_since(
+        quarantine: gateway.quarantine.borrow().updates_since(
             seen.map_or(0, |seen| seen.quarantine),
             MOST_SUSPECTS,
             now,
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -76,7 +76,7 @@
 
     /// What tells that another try of its caller is the same request.
     pub fn fingerprint(&self) -> Fingerprint {
-        let parts = || RequestParts {
+        let parts = || RequestIdentity {
             host: &self.route.host,
             path: self.target.path_and_query().map_or("", |path| path.as_str()),
             organisation: self.organisation.as_ref().map(|o| o.name.as_str()),
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -21,14 +21,14 @@
 impl<W: Wire, S> Gateway<W, S> {
     /// An endpoint ended under a request. Its end is laid to those that were in their beginning there.
     pub fn on_ended_under(&self, job: &Job, send: &BrokenSend) {
-        let is_beginning = send.ran_for().is_none_or(|ran| ran < BEGINNING);
+        let is_beginning = send.ran_for().is_none_or(|ran| ran < SUSPICION_WINDOW);
         self.decisions.ended_under(job, send, is_beginning);
         if !is_beginning {
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
         let (fingerprint, life) = (job.fingerprint(), self.life_name(&send.endpoint));
-        let events = quarantine.on_end(fingerprint, &life, send.sent_at, send.broke_at);
+        let events = quarantine.on_crash(fingerprint, &life, send.sent_at, send.broke_at);
         drop(quarantine);
         self.on_quarantine_events(&events);
     }
@@ -47,7 +47,7 @@
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
-        let events = quarantine.on_ran_well(job.fingerprint(), Instant::now());
+        let events = quarantine.on_survived(job.fingerprint(), Instant::now());
         drop(quarantine);
         self.on_quarantine_events(&events);
     }
@@ -58,7 +58,7 @@
         if quarantine.is_empty() || !self.settings.borrow().mechanisms.quarantine {
             return None;
         }
-        quarantine.held_for(job.fingerprint(), Instant::now())
+        quarantine.quarantined_for(job.fingerprint(), Instant::now())
     }
 
     /// How much longer a request is kept apart from others: if it is what ends endpoints, it would leave none for anybody.
@@ -67,13 +67,13 @@
         if quarantine.is_empty() || !self.settings.borrow().mechanisms.quarantine {
             return None;
         }
-        quarantine.kept_apart_for(job.fingerprint(), Instant::now())
+        quarantine.isolated_for(job.fingerprint(), Instant::now())
     }
 
     /// Refuses a request that is held back: it was not run, and its caller may come back when the term is over.
     pub fn refuse_held_back(&self, job: &Job) -> Option<Failure> {
         let left = self.held_back(job)?;
-        let ends = self.quarantine.borrow().ends(job.fingerprint());
+        let ends = self.quarantine.borrow().crash_count(job.fingerprint());
         let fingerprint = describe_fingerprint(job.fingerprint());
         let reason = format!("{ends} endpoints ended under this request ({fingerprint})");
         self.metrics.quarantine_refusals.inc();
@@ -88,11 +88,11 @@
     }
 
     /// Takes what a VM tells of requests under which endpoints ended.
-    pub fn on_told_suspects(&self, suspects: &[SuspectNews], teller: Teller) {
+    pub fn on_told_suspects(&self, suspects: &[SuspectUpdate], teller: UpdateSource) {
         if suspects.is_empty() {
             return;
         }
-        let events = self.quarantine.borrow_mut().on_news(suspects, teller, Instant::now());
+        let events = self.quarantine.borrow_mut().on_updates(suspects, teller, Instant::now());
         self.on_quarantine_events(&events);
     }
 
@@ -100,13 +100,13 @@
     pub(crate) fn on_quarantine_events(&self, events: &[QuarantineEvent]) {
         for event in events {
             match event {
-                QuarantineEvent::Begun { fingerprint, endpoints, term } => tracing::warn!(
+                QuarantineEvent::Quarantined { fingerprint, endpoints, term } => tracing::warn!(
                     fingerprint = describe_fingerprint(*fingerprint),
                     endpoints = endpoints.join(","),
                     term_s = term.as_secs(),
                     "quarantine: A request is held back, endpoints ended under it."
                 ),
-                QuarantineEvent::Ended { fingerprint } => tracing::info!(
+                QuarantineEvent::Released { fingerprint } => tracing::info!(
                     fingerprint = describe_fingerprint(*fingerprint),
                     "quarantine: A request is let in again."
                 ),
@@ -129,7 +129,7 @@
         if gateway.quarantine.borrow().is_empty() {
             continue;
         }
-        let events = gateway.quarantine.borrow_mut().on_time(Instant::now());
+        let events = gateway.quarantine.borrow_mut().on_tick(Instant::now());
         gateway.on_quarantine_events(&events);
     }
 }
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -58,7 +58,7 @@
     /// Notes that an event came; answers, once, whether the run has passed its beginning here.
     pub(super) fn passes_beginning(&mut self, now: Instant) -> bool {
         let first = *self.first_event_at.get_or_insert(now);
-        let has_passed = now.saturating_duration_since(first) >= BEGINNING;
+        let has_passed = now.saturating_duration_since(first) >= SUSPICION_WINDOW;
         has_passed && !std::mem::replace(&mut self.has_passed_beginning, true)
     }
 
--- a/crates/sillbank_quarantine/src/lib.rs
+++ b/crates/sillbank_quarantine/src/lib.rs
@@ -1,35 +1,36 @@
-//! Requests that end the endpoints that run them: how they are recognised, when they are held back, and what VMs
-//! tell each other of them.
+//! Quarantine of requests that crash the endpoints that run them: how such requests are identified, when they are
+//! quarantined, and which updates about them VMs exchange.
 //!
-//! A caller's next try has an id of its own and mostly comes to another VM. What tells that it is the same request
-//! is its [`Fingerprint`]. A request under which an endpoint ended in its beginning is suspected: it may be the reason or
-//! have been there by chance. One that then runs well is cleared. One under which three endpoints ended is held back
-//! for a term, which doubles with each further end.
+//! A retry of a caller has its own id and usually arrives at another VM. Requests are therefore identified by their
+//! [`Fingerprint`]. A request that was in its first moments on an endpoint when that crashed becomes a suspect: it may
+//! be the cause, or be there by chance. A suspect that then runs well is cleared. A request with three crashes is
+//! quarantined for a term, which doubles with each further crash.
 //!
-//! What is known of a request is a set of ends and the moment at which it was last seen to run well. Sets of several
-//! VMs are united, in any order and as often as they are told.
+//! The state of a request is a set of crashes and the time at which it was last seen to run well. Sets of different
+//! VMs are merged; the result does not depend on the order or number of updates.
 //!
-//! Pure: no sockets, no clock, no threads.
+//! This crate is pure: it uses no sockets, clock or threads.
 
 #![forbid(unsafe_code)]
 
 mod fingerprint;
-mod news;
+mod policy;
 mod quarantine;
 mod suspect;
-mod terms;
+mod updates;
 
-pub use fingerprint::{Fingerprint, RequestParts};
-pub use news::{
-    ChangeNumber, EndNews, QuarantineNews, QuarantineRecord, StoredEnd, StoredSuspect, SuspectNews,
+pub use fingerprint::{Fingerprint, RequestIdentity};
+pub use policy::{CRASHES_TO_QUARANTINE, MAX_SUSPECTS, REPORT_DELAY, RETENTION, SUSPICION_WINDOW};
+pub use quarantine::{Quarantine, QuarantineEvent, UpdateSource};
+pub use updates::{
+    ChangeNumber, CrashUpdate, QuarantineRecord, QuarantineUpdate, StoredCrash, StoredSuspect,
+    SuspectUpdate,
 };
-pub use quarantine::{Quarantine, QuarantineEvent, Teller};
-pub use terms::{BEGINNING, ENDS_TO_QUARANTINE, MEMORY, MOST_SUSPECTS, TELL_AFTER};
 
-/// The few types most users need.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{
-        BEGINNING, Fingerprint, Quarantine, QuarantineEvent, QuarantineNews, QuarantineRecord,
-        RequestParts, SuspectNews, Teller,
+        Fingerprint, Quarantine, QuarantineEvent, QuarantineRecord, QuarantineUpdate,
+        RequestIdentity, SUSPICION_WINDOW, SuspectUpdate, UpdateSource,
     };
 }
--- /dev/null
+++ b/crates/sillbank_quarantine/src/policy.rs
@@ -0,0 +1,44 @@
+//! Limits and terms of the quarantine.
+
+use std::time::Duration;
+
+/// Crashes after which a request is quarantined. One crash is often chance, and two happen to a stream that loses its
+/// first engine and then the next; the platform's operators count from the third on.
+pub const CRASHES_TO_QUARANTINE: usize = 3;
+/// Crashes from which a request is reported to other VMs at once and kept in the store: one more quarantines it.
+pub(crate) const URGENT_CRASHES: usize = CRASHES_TO_QUARANTINE - 1;
+/// Time since the first event of a run within which a crash of its endpoint is attributed to it. Requests that
+/// crash their endpoint do so within about 0.1 s; a longer run is not the cause, and shows that the request is
+/// harmless.
+pub const SUSPICION_WINDOW: Duration = Duration::from_secs(1);
+/// Time after a crash for which the request is isolated from others. By then the crashed endpoint has restarted and
+/// holds its layers again.
+pub(crate) const ISOLATION_TERM: Duration = Duration::from_secs(10);
+/// First quarantine term: enough for operators to notice the request and repair the fault that it triggers. Each
+/// further crash doubles it.
+const INITIAL_TERM: Duration = Duration::from_secs(600);
+/// Longest quarantine term.
+const MAX_TERM: Duration = Duration::from_secs(3_600);
+/// Crashes that are stored for one request; with that many the term is the longest.
+pub(crate) const MAX_CRASHES: usize = 6;
+/// Time after its last crash for which a request is remembered. After its term it is admitted again, and one more
+/// crash quarantines it at once.
+pub const RETENTION: Duration = Duration::from_secs(2 * 3_600);
+/// Maximum number of remembered requests, of about 300 bytes each. With more suspects than that, many endpoints crashed
+/// for another reason.
+pub const MAX_SUSPECTS: usize = 4_096;
+/// Delay before a first crash is reported to other VMs. Most requests that were only present run elsewhere by then
+/// and need not be reported.
+pub const REPORT_DELAY: Duration = Duration::from_millis(1_200);
+/// Times at which a request ran well that are closer than this are the same run.
+pub(crate) const SAME_RUN_TOLERANCE: Duration = Duration::from_secs(1);
+/// Crashes of the same incarnation of an endpoint that are closer than this are the same crash. VMs detect it at about
+/// the same time, but the store dates it by the time of day, on which VMs disagree by seconds.
+pub(crate) const SAME_CRASH_TOLERANCE: Duration = Duration::from_secs(10);
+
+/// Time after its last crash for which a request with this number of crashes is quarantined; `None` if it is not.
+pub(crate) fn quarantine_term(crashes: usize) -> Option<Duration> {
+    let doublings = u32::try_from(crashes.checked_sub(CRASHES_TO_QUARANTINE)?).unwrap_or(u32::MAX);
+    let term = INITIAL_TERM.saturating_mul(2_u32.saturating_pow(doublings));
+    Some(term.min(MAX_TERM))
+}
--- a/crates/sillbank_quarantine/src/quarantine.rs
+++ b/crates/sillbank_quarantine/src/quarantine.rs
@@ -1,22 +1,24 @@
-//! All requests under which endpoints ended, as one VM knows them.
+//! All suspects known to one VM.
 
 use crate::fingerprint::Fingerprint;
-use crate::news::{ChangeNumber, QuarantineNews, QuarantineRecord, StoredSuspect, SuspectNews};
-use crate::suspect::{StoredMark, Suspect};
-use crate::terms::{KEPT_APART, MEMORY, MOST_SUSPECTS, TELL_AFTER, URGENT_ENDS};
+use crate::policy::{ISOLATION_TERM, MAX_SUSPECTS, REPORT_DELAY, RETENTION, URGENT_CRASHES};
+use crate::suspect::{StoredSummary, Suspect};
+use crate::updates::{
+    ChangeNumber, QuarantineRecord, QuarantineUpdate, StoredSuspect, SuspectUpdate,
+};
 use sillbank_core::prelude::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// How long this VM waits for the leader of the hall that saw an end to write it to the store.
-const OTHERS_STORE_WITHIN: Duration = Duration::from_secs(1);
-/// Requests that the store keeps at most, some 300 bytes each: an object may have 1 MB.
-const MOST_STORED: usize = 256;
+/// How long this VM waits for the leader of the hall that observed a crash to write it to the store.
+const OTHER_WRITER_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of requests in the store, of about 300 bytes each: an object may have 1 MB.
+const MAX_STORED: usize = 256;
 
-/// Who told of a suspected request.
+/// Source of an update about suspects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Teller {
-    /// A VM of the own hall that saw it.
+pub enum UpdateSource {
+    /// A VM of the own hall that observed the crash.
     Member,
     /// A leader.
     Leader,
@@ -24,38 +26,38 @@
     Store,
 }
 
-/// What changed for a request.
+/// A change of the state of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuarantineEvent {
-    /// It is held back from now on.
-    Begun {
-        /// Request.
+    /// The request is quarantined from now on.
+    Quarantined {
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Endpoints that ended under it.
+        /// Endpoints that crashed while they ran it.
         endpoints: Vec<EndpointId>,
-        /// How long it is held back.
+        /// Length of the quarantine.
         term: Duration,
     },
-    /// It is held back no more: its term is over, or it was seen to run well.
-    Ended {
-        /// Request.
+    /// The request is no longer quarantined: its term is over, or it was seen to run well.
+    Released {
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
     },
 }
 
-/// Requests under which endpoints ended, those of which this VM knows.
+/// Suspects known to one VM.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: BTreeMap<Fingerprint, Suspect>,
     newest_change: ChangeNumber,
-    /// Newest change that others should hear of without a wait.
+    /// Newest change that other VMs should receive without delay.
     newest_urgent: ChangeNumber,
 }
 
 impl Quarantine {
-    /// An endpoint ended under a request in its beginning, which was sent there at a moment. `endpoint` names one life
-    /// of it, as far as that is known.
-    pub fn on_end(
+    /// Records a crash of an endpoint within the suspicion window of a request that was sent to it at `sent_at`.
+    /// `endpoint` identifies one incarnation of the endpoint, as far as that is known.
+    pub fn on_crash(
         &mut self,
         fingerprint: Fingerprint,
         endpoint: &str,
@@ -63,252 +65,259 @@
         now: Instant,
     ) -> Vec<QuarantineEvent> {
         let suspect = self.suspects.entry(fingerprint).or_default();
-        let there = now.saturating_duration_since(sent_at);
-        if !suspect.add_end(endpoint, now, there) {
+        let since_send = now.saturating_duration_since(sent_at);
+        if !suspect.add_crash(endpoint, now, since_send) {
             return Vec::new();
         }
         suspect.store_from = Some(now);
-        if suspect.changed == 0 && suspect.ends() < URGENT_ENDS {
-            suspect.tell_at.get_or_insert(now + TELL_AFTER);
+        if suspect.changed == 0 && suspect.crash_count() < URGENT_CRASHES {
+            suspect.report_at.get_or_insert(now + REPORT_DELAY);
         } else {
-            self.note_change(fingerprint, true);
+            self.record_change(fingerprint, true);
         }
         self.drop_excess();
-        self.follow(fingerprint, now)
+        self.update_state(fingerprint, now)
     }
 
-    /// A request was seen to run well: to its end, or beyond its beginning.
-    pub fn on_ran_well(&mut self, fingerprint: Fingerprint, now: Instant) -> Vec<QuarantineEvent> {
+    /// Records that a request was seen to run well: to its end, or beyond the suspicion window.
+    pub fn on_survived(&mut self, fingerprint: Fingerprint, now: Instant) -> Vec<QuarantineEvent> {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return Vec::new();
         };
-        if suspect.ends() == 0 || !suspect.clear(now) {
+        if suspect.crash_count() == 0 || !suspect.clear(now) {
             return Vec::new();
         }
         suspect.store_from = Some(now);
-        let is_untold = suspect.changed == 0;
-        let events = self.follow(fingerprint, now);
-        match is_untold {
+        let is_unreported = suspect.changed == 0;
+        let events = self.update_state(fingerprint, now);
+        match is_unreported {
             true => drop(self.suspects.remove(&fingerprint)),
-            false => self.note_change(fingerprint, true),
+            false => self.record_change(fingerprint, true),
         }
         events
     }
 
-    /// How much longer a request is held back; `None` if it is not.
-    pub fn held_for(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
-        self.suspects.get(&fingerprint)?.held_for(now)
+    /// Remaining time of a request's quarantine; `None` if it is not quarantined.
+    pub fn quarantined_for(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
+        self.suspects.get(&fingerprint)?.quarantined_for(now)
     }
 
-    /// How much longer a request is kept apart from others: an endpoint ended under it not long ago, and it has not run well
-    /// since.
-    pub fn kept_apart_for(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
-        let last_end = self.suspects.get(&fingerprint)?.last_end()?;
-        let left = KEPT_APART.checked_sub(now.saturating_duration_since(last_end));
+    /// Remaining time for which a request is isolated from others: an endpoint that ran it crashed recently, and it has
+    /// not run well since.
+    pub fn isolated_for(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
+        let last_crash = self.suspects.get(&fingerprint)?.last_crash()?;
+        let left = ISOLATION_TERM.checked_sub(now.saturating_duration_since(last_crash));
         left.filter(|left| !left.is_zero())
     }
 
-    /// Endpoints that ended under a request, as far as they count.
-    pub fn ends(&self, fingerprint: Fingerprint) -> usize {
-        self.suspects.get(&fingerprint).map_or(0, Suspect::ends)
+    /// Number of crashes of a request that count.
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
+        self.suspects.get(&fingerprint).map_or(0, Suspect::crash_count)
     }
 
-    /// Whether no request is known of.
+    /// Whether there is no suspect.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests that are held back, and all that are suspected.
+    /// Number of quarantined requests and of all suspects.
     pub fn counts(&self) -> (usize, usize) {
-        (self.suspects.values().filter(|suspect| suspect.is_held).count(), self.suspects.len())
+        (
+            self.suspects.values().filter(|suspect| suspect.is_quarantined).count(),
+            self.suspects.len(),
+        )
     }
 
-    /// Lets time pass: first ends become due to be told, terms end, and what is too old is forgotten.
-    pub fn on_time(&mut self, now: Instant) -> Vec<QuarantineEvent> {
-        let is_due = |suspect: &Suspect| suspect.tell_at.is_some_and(|at| at <= now);
+    /// Advances time: first crashes become due for reporting, terms end, and old suspects are removed.
+    pub fn on_tick(&mut self, now: Instant) -> Vec<QuarantineEvent> {
+        let is_due = |suspect: &Suspect| suspect.report_at.is_some_and(|at| at <= now);
         let due = self.suspects.iter().filter(|(_, suspect)| is_due(suspect));
         for fingerprint in due.map(|(fingerprint, _)| *fingerprint).collect::<Vec<_>>() {
-            self.note_change(fingerprint, true);
+            self.record_change(fingerprint, true);
         }
-        let is_over = |suspect: &Suspect| suspect.is_held && suspect.held_for(now).is_none();
-        let over = self.suspects.iter().filter(|(_, suspect)| is_over(suspect));
-        let over: Vec<Fingerprint> = over.map(|(fingerprint, _)| *fingerprint).collect();
-        let events = over.into_iter().flat_map(|fingerprint| self.follow(fingerprint, now));
+        let has_ended =
+            |suspect: &Suspect| suspect.is_quarantined && suspect.quarantined_for(now).is_none();
+        let ended = self.suspects.iter().filter(|(_, suspect)| has_ended(suspect));
+        let ended: Vec<Fingerprint> = ended.map(|(fingerprint, _)| *fingerprint).collect();
+        let events = ended.into_iter().flat_map(|fingerprint| self.update_state(fingerprint, now));
         let events = events.collect();
-        self.suspects.retain(|_, suspect| !suspect.is_over(now));
+        self.suspects.retain(|_, suspect| !suspect.is_expired(now));
         events
     }
 
-    /// Takes what a VM or the store tells.
-    pub fn on_news(
+    /// Merges updates from a VM or the store.
+    pub fn on_updates(
         &mut self,
-        suspects: &[SuspectNews],
-        teller: Teller,
+        updates: &[SuspectUpdate],
+        source: UpdateSource,
         now: Instant,
     ) -> Vec<QuarantineEvent> {
         let mut events = Vec::new();
-        for news in suspects.iter().filter(|news| is_recent(news)) {
-            let suspect = self.suspects.entry(news.fingerprint).or_default();
-            if !suspect.take_news(news, now) {
+        for update in updates.iter().filter(|update| is_recent(update)) {
+            let suspect = self.suspects.entry(update.fingerprint).or_default();
+            if !suspect.merge(update, now) {
                 continue;
             }
-            suspect.store_from = Some(match teller {
-                Teller::Member => now,
-                Teller::Leader | Teller::Store => now + OTHERS_STORE_WITHIN,
+            suspect.store_from = Some(match source {
+                UpdateSource::Member => now,
+                UpdateSource::Leader | UpdateSource::Store => now + OTHER_WRITER_DELAY,
             });
-            self.note_change(news.fingerprint, false);
-            events.extend(self.follow(news.fingerprint, now));
+            self.record_change(update.fingerprint, false);
+            events.extend(self.update_state(update.fingerprint, now));
         }
         self.drop_excess();
         events
     }
 
-    /// Takes what the store keeps, at a time of day.
+    /// Merges the record of the store, read at a time of day.
     pub fn on_stored(
         &mut self,
         record: &QuarantineRecord,
         now: Instant,
         now_unix_ms: u64,
     ) -> Vec<QuarantineEvent> {
-        let stored = record.suspects.iter().filter_map(|stored| stored.to_news(now_unix_ms));
-        let stored: Vec<SuspectNews> = stored.collect();
-        let events = self.on_news(&stored, Teller::Store, now);
-        self.note_stored(&stored);
+        let stored = record.suspects.iter().filter_map(|stored| stored.to_update(now_unix_ms));
+        let stored: Vec<SuspectUpdate> = stored.collect();
+        let events = self.on_updates(&stored, UpdateSource::Store, now);
+        self.record_stored(&stored);
         events
     }
 
-    /// What the store should keep, if it lacks anything that this VM is to write by now.
+    /// The record that the store should keep, if it lacks anything that this VM is due to write.
     pub fn due_record(&self, now: Instant, now_unix_ms: u64) -> Option<QuarantineRecord> {
         let is_due = |suspect: &Suspect| {
-            suspect.is_to_be_stored() && suspect.store_from.is_some_and(|at| at <= now)
+            suspect.needs_store() && suspect.store_from.is_some_and(|at| at <= now)
         };
         if !self.suspects.values().any(is_due) {
             return None;
         }
         let mut kept: Vec<_> =
             self.suspects.iter().filter(|(_, suspect)| suspect.is_kept()).collect();
-        kept.sort_by_key(|(_, suspect)| std::cmp::Reverse((suspect.is_held, suspect.newest())));
-        kept.truncate(MOST_STORED);
+        kept.sort_by_key(|(_, suspect)| {
+            std::cmp::Reverse((suspect.is_quarantined, suspect.newest()))
+        });
+        kept.truncate(MAX_STORED);
         let to_stored = |(fingerprint, suspect): (&Fingerprint, &Suspect)| {
-            StoredSuspect::from_news(&suspect.to_news(*fingerprint, now), now_unix_ms)
+            StoredSuspect::from_update(&suspect.to_update(*fingerprint, now), now_unix_ms)
         };
         Some(QuarantineRecord { suspects: kept.into_iter().map(to_stored).collect() })
     }
 
-    /// The store took a record.
+    /// Records that the store accepted a record.
     pub fn on_written(&mut self, record: &QuarantineRecord, now_unix_ms: u64) {
-        let stored: Vec<SuspectNews> =
-            record.suspects.iter().filter_map(|stored| stored.to_news(now_unix_ms)).collect();
-        self.note_stored(&stored);
-        if record.suspects.len() < MOST_STORED {
+        let stored: Vec<SuspectUpdate> =
+            record.suspects.iter().filter_map(|stored| stored.to_update(now_unix_ms)).collect();
+        self.record_stored(&stored);
+        if record.suspects.len() < MAX_STORED {
             return;
         }
-        // What did not fit is written with its next change.
+        // Suspects that did not fit are written with their next change.
         for suspect in self.suspects.values_mut() {
             suspect.store_from = None;
         }
     }
 
-    fn note_stored(&mut self, stored: &[SuspectNews]) {
+    fn record_stored(&mut self, stored: &[SuspectUpdate]) {
         self.suspects.values_mut().for_each(|suspect| suspect.stored = None);
-        for news in stored {
-            if let Some(suspect) = self.suspects.get_mut(&news.fingerprint) {
-                suspect.stored = Some(StoredMark::of(news));
+        for update in stored {
+            if let Some(suspect) = self.suspects.get_mut(&update.fingerprint) {
+                suspect.stored = Some(StoredSummary::of(update));
             }
         }
     }
 
-    /// Newest change that others should hear of without a wait.
+    /// Newest change that other VMs should receive without delay.
     pub fn newest_urgent(&self) -> ChangeNumber {
         self.newest_urgent
     }
 
-    /// At most `most` changes after one, the oldest first.
-    pub fn news_since(&self, since: ChangeNumber, most: usize, now: Instant) -> QuarantineNews {
-        self.news(since, most, now, |suspect| suspect.changed)
+    /// Changes after `since`, at most `max` of them, the oldest first.
+    pub fn updates_since(&self, since: ChangeNumber, max: usize, now: Instant) -> QuarantineUpdate {
+        self.updates(since, max, now, |suspect| suspect.changed)
     }
 
-    /// As [`Self::news_since`], of what this VM saw itself.
-    pub fn witnessed_since(
+    /// As [`Self::updates_since`], restricted to changes that this VM observed itself.
+    pub fn observed_updates_since(
         &self,
         since: ChangeNumber,
-        most: usize,
+        max: usize,
         now: Instant,
-    ) -> QuarantineNews {
-        self.news(since, most, now, |suspect| suspect.witnessed)
+    ) -> QuarantineUpdate {
+        self.updates(since, max, now, |suspect| suspect.observed)
     }
 
-    fn news(
+    fn updates(
         &self,
         since: ChangeNumber,
-        most: usize,
+        max: usize,
         now: Instant,
         change_of: impl Fn(&Suspect) -> ChangeNumber,
-    ) -> QuarantineNews {
+    ) -> QuarantineUpdate {
         if since >= self.newest_change {
-            return QuarantineNews { up_to: since, suspects: Vec::new() };
+            return QuarantineUpdate { up_to: since, suspects: Vec::new() };
         }
         let changed = self.suspects.iter().filter(|(_, suspect)| change_of(suspect) > since);
         let changed: BTreeSet<(ChangeNumber, Fingerprint)> =
             changed.map(|(fingerprint, suspect)| (change_of(suspect), *fingerprint)).collect();
-        let is_whole = changed.len() <= most;
-        let told: Vec<(ChangeNumber, Fingerprint)> = changed.into_iter().take(most).collect();
-        let up_to = match (is_whole, told.last()) {
+        let is_complete = changed.len() <= max;
+        let included: Vec<(ChangeNumber, Fingerprint)> = changed.into_iter().take(max).collect();
+        let up_to = match (is_complete, included.last()) {
             (false, Some((last, _))) => *last,
             _ => self.newest_change,
         };
-        let suspects = told.iter().filter_map(|(_, fingerprint)| {
-            Some(self.suspects.get(fingerprint)?.to_news(*fingerprint, now))
+        let suspects = included.iter().filter_map(|(_, fingerprint)| {
+            Some(self.suspects.get(fingerprint)?.to_update(*fingerprint, now))
         });
-        QuarantineNews { up_to, suspects: suspects.collect() }
+        QuarantineUpdate { up_to, suspects: suspects.collect() }
     }
 
-    /// Numbers a change. That of a request which one end more holds back is urgent.
-    fn note_change(&mut self, fingerprint: Fingerprint, is_witnessed: bool) {
+    /// Numbers a change. It is urgent if one more crash quarantines the request, or it is quarantined already.
+    fn record_change(&mut self, fingerprint: Fingerprint, is_observed: bool) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return };
         self.newest_change += 1;
         suspect.changed = self.newest_change;
-        let is_urgent = suspect.ends() >= URGENT_ENDS;
+        let is_urgent = suspect.crash_count() >= URGENT_CRASHES;
         if is_urgent {
             self.newest_urgent = self.newest_change;
         }
-        // An end that was seen here and waits to be told is told with others.
-        if is_witnessed || (is_urgent && suspect.tell_at.is_some()) {
-            suspect.witnessed = self.newest_change;
-            suspect.tell_at = None;
+        // A crash that was observed here and waits to be reported is reported together with others.
+        if is_observed || (is_urgent && suspect.report_at.is_some()) {
+            suspect.observed = self.newest_change;
+            suspect.report_at = None;
         }
     }
 
-    /// Tells whether a request is held back, if that changed.
-    fn follow(&mut self, fingerprint: Fingerprint, now: Instant) -> Vec<QuarantineEvent> {
+    /// Updates whether a request is quarantined and returns an event if that changed.
+    fn update_state(&mut self, fingerprint: Fingerprint, now: Instant) -> Vec<QuarantineEvent> {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return Vec::new();
         };
-        let held_for = suspect.held_for(now);
-        let was_held = std::mem::replace(&mut suspect.is_held, held_for.is_some());
-        match (was_held, held_for) {
+        let quarantined_for = suspect.quarantined_for(now);
+        let was_quarantined =
+            std::mem::replace(&mut suspect.is_quarantined, quarantined_for.is_some());
+        match (was_quarantined, quarantined_for) {
             (false, Some(term)) => {
                 let endpoints = suspect.endpoints();
-                vec![QuarantineEvent::Begun { fingerprint, endpoints, term }]
+                vec![QuarantineEvent::Quarantined { fingerprint, endpoints, term }]
             }
-            (true, None) => vec![QuarantineEvent::Ended { fingerprint }],
+            (true, None) => vec![QuarantineEvent::Released { fingerprint }],
             _ => Vec::new(),
         }
     }
 
-    /// Forgets those with the fewest and oldest ends beyond the bound.
+    /// Removes the suspects with the fewest and oldest crashes beyond the maximum.
     fn drop_excess(&mut self) {
-        while self.suspects.len() > MOST_SUSPECTS {
-            let least = self.suspects.iter().min_by_key(|(_, s)| (s.ends(), s.newest()));
+        while self.suspects.len() > MAX_SUSPECTS {
+            let least = self.suspects.iter().min_by_key(|(_, s)| (s.crash_count(), s.newest()));
             let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) else { return };
             self.suspects.remove(&fingerprint);
         }
     }
 }
 
-/// Whether news tell of something that is still to be remembered.
-fn is_recent(news: &SuspectNews) -> bool {
-    let memory_ms = MEMORY.as_millis() as u64;
-    let ages = news.ends.iter().map(|end| end.age_ms).chain(news.cleared_age_ms);
-    ages.min().is_some_and(|age_ms| age_ms < memory_ms)
+/// Whether an update contains anything within the retention time.
+fn is_recent(update: &SuspectUpdate) -> bool {
+    let retention_ms = RETENTION.as_millis() as u64;
+    let ages = update.crashes.iter().map(|crash| crash.age_ms).chain(update.cleared_age_ms);
+    ages.min().is_some_and(|age_ms| age_ms < retention_ms)
 }
--- a/crates/sillbank_quarantine/src/suspect.rs
+++ b/crates/sillbank_quarantine/src/suspect.rs
@@ -1,166 +1,171 @@
-//! What is known of one request under which endpoints ended.
+//! State of one request whose endpoints crashed.
 
 use crate::fingerprint::Fingerprint;
-use crate::news::{ChangeNumber, EndNews, SuspectNews};
-use crate::terms::{MEMORY, MOST_ENDS, SAME_END_WITHIN, SAME_RUN_WITHIN, URGENT_ENDS, term_after};
+use crate::policy::{
+    MAX_CRASHES, RETENTION, SAME_CRASH_TOLERANCE, SAME_RUN_TOLERANCE, URGENT_CRASHES,
+    quarantine_term,
+};
+use crate::updates::{ChangeNumber, CrashUpdate, SuspectUpdate};
 use sillbank_core::prelude::EndpointId;
 use std::time::{Duration, Instant};
 
-/// An endpoint that ended under the request.
+/// A crash of an endpoint that ran the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct End {
+struct Crash {
     endpoint: EndpointId,
     at: Instant,
-    /// Time from the request's sending there to the end.
-    there: Duration,
+    /// Time from sending the request to the crash.
+    since_send: Duration,
 }
 
-impl End {
-    /// Whether the request was sent there after another of its endpoints had ended.
-    fn follows(&self, other: &End) -> bool {
-        self.at.saturating_duration_since(other.at) >= self.there
+impl Crash {
+    /// Whether the request was sent to this endpoint after another one had crashed.
+    fn follows(&self, other: &Crash) -> bool {
+        self.at.saturating_duration_since(other.at) >= self.since_send
     }
 }
 
-/// Keeps those ends of some, in order of their times, that each follow the one kept before. Endpoints that end at
-/// the same moment, each with a copy of the request, ended for another reason or one of them did.
-fn keep_chain(ends: &mut Vec<End>) {
-    let mut kept: Vec<End> = Vec::new();
-    for end in ends.drain(..) {
-        if kept.last().is_none_or(|last| end.follows(last)) {
-            kept.push(end);
+/// Keeps only those crashes, ordered by time, that follow the one kept before. Of endpoints that crash at the same
+/// time, each with a copy of the request, at most one crashed because of it.
+fn keep_causal_chain(crashes: &mut Vec<Crash>) {
+    let mut kept: Vec<Crash> = Vec::new();
+    for crash in crashes.drain(..) {
+        if kept.last().is_none_or(|last| crash.follows(last)) {
+            kept.push(crash);
         }
     }
-    *ends = kept;
+    *crashes = kept;
 }
 
-/// What tells whether the store keeps the same of a request as this VM.
+/// Summary of a suspect, to compare the state in the store with that of this VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct StoredMark {
-    ends: usize,
+pub(crate) struct StoredSummary {
+    crashes: usize,
     is_cleared: bool,
 }
 
-impl StoredMark {
-    pub(crate) fn of(news: &SuspectNews) -> Self {
-        Self { ends: news.ends.len(), is_cleared: news.cleared_age_ms.is_some() }
+impl StoredSummary {
+    pub(crate) fn of(update: &SuspectUpdate) -> Self {
+        Self { crashes: update.crashes.len(), is_cleared: update.cleared_age_ms.is_some() }
     }
 }
 
-/// A request under which endpoints ended.
+/// A request whose endpoints crashed.
 #[derive(Debug, Default)]
 pub(crate) struct Suspect {
-    /// At most [`MOST_ENDS`], the newest ones, each of a send that followed the end before.
-    ends: Vec<End>,
-    /// When it was last seen to run well.
+    /// The newest crashes, at most [`MAX_CRASHES`], each of a send that followed the crash before.
+    crashes: Vec<Crash>,
+    /// When the request was last seen to run well.
     cleared_at: Option<Instant>,
-    /// Newest change that other VMs hear of; 0 while they need not.
+    /// Newest change that is reported to other VMs; 0 while none needs to be.
     pub(crate) changed: ChangeNumber,
-    /// Newest change that this VM saw itself.
-    pub(crate) witnessed: ChangeNumber,
-    /// When a first end is told to others, if it was not yet.
-    pub(crate) tell_at: Option<Instant>,
-    /// Whether it is told to be held back.
-    pub(crate) is_held: bool,
-    /// What the store keeps of it, if anything.
-    pub(crate) stored: Option<StoredMark>,
-    /// From when on this VM writes what the store lacks.
+    /// Newest change that this VM observed itself.
+    pub(crate) observed: ChangeNumber,
+    /// When a first crash is to be reported to other VMs, if it was not yet.
+    pub(crate) report_at: Option<Instant>,
+    /// Whether the request was announced as quarantined.
+    pub(crate) is_quarantined: bool,
+    /// State in the store, if any.
+    pub(crate) stored: Option<StoredSummary>,
+    /// Time from which this VM writes what the store lacks.
     pub(crate) store_from: Option<Instant>,
 }
 
 impl Suspect {
-    /// Ends that count.
-    pub(crate) fn ends(&self) -> usize {
-        self.ends.len()
+    /// Number of crashes that count.
+    pub(crate) fn crash_count(&self) -> usize {
+        self.crashes.len()
     }
 
-    /// Endpoints that ended under it.
+    /// Endpoints that crashed.
     pub(crate) fn endpoints(&self) -> Vec<EndpointId> {
-        self.ends.iter().map(|end| end.endpoint.clone()).collect()
+        self.crashes.iter().map(|crash| crash.endpoint.clone()).collect()
     }
 
-    /// Whether the store is to keep it: one end more holds it back, or the store keeps what counts no more.
+    /// Whether the store should keep the suspect: one more crash quarantines it, or the store holds outdated state.
     pub(crate) fn is_kept(&self) -> bool {
-        self.ends() >= URGENT_ENDS || self.stored.is_some()
+        self.crash_count() >= URGENT_CRASHES || self.stored.is_some()
     }
 
-    /// Whether the store is to keep something else than it does.
-    pub(crate) fn is_to_be_stored(&self) -> bool {
-        let mark = StoredMark { ends: self.ends(), is_cleared: self.cleared_at.is_some() };
-        self.is_kept() && self.stored != Some(mark)
+    /// Whether the state in the store differs from the one that it should keep.
+    pub(crate) fn needs_store(&self) -> bool {
+        let summary =
+            StoredSummary { crashes: self.crash_count(), is_cleared: self.cleared_at.is_some() };
+        self.is_kept() && self.stored != Some(summary)
     }
 
-    /// When the last end was, or when it was cleared.
+    /// Time of the last crash or of the last clearing, whichever is later.
     pub(crate) fn newest(&self) -> Option<Instant> {
-        self.ends.iter().map(|end| end.at).max().max(self.cleared_at)
+        self.crashes.iter().map(|crash| crash.at).max().max(self.cleared_at)
     }
 
-    /// When the last end was.
-    pub(crate) fn last_end(&self) -> Option<Instant> {
-        self.ends.iter().map(|end| end.at).max()
+    /// Time of the last crash.
+    pub(crate) fn last_crash(&self) -> Option<Instant> {
+        self.crashes.iter().map(|crash| crash.at).max()
     }
 
-    /// Notes an end; answers whether it was not known.
-    pub(crate) fn add_end(&mut self, endpoint: &str, at: Instant, there: Duration) -> bool {
-        let is_same = |end: &End| {
-            let apart = at.max(end.at).saturating_duration_since(at.min(end.at));
-            end.endpoint == endpoint && apart < SAME_END_WITHIN
+    /// Adds a crash and returns whether it was unknown.
+    pub(crate) fn add_crash(&mut self, endpoint: &str, at: Instant, since_send: Duration) -> bool {
+        let is_same = |crash: &Crash| {
+            let distance = at.max(crash.at).saturating_duration_since(at.min(crash.at));
+            crash.endpoint == endpoint && distance < SAME_CRASH_TOLERANCE
         };
-        if self.cleared_at.is_some_and(|cleared| at <= cleared) || self.ends.iter().any(is_same) {
+        if self.cleared_at.is_some_and(|cleared| at <= cleared) || self.crashes.iter().any(is_same)
+        {
             return false;
         }
-        let before = self.ends.clone();
-        self.ends.push(End { endpoint: endpoint.to_owned(), at, there });
-        self.ends.sort_by_key(|end| end.at);
-        keep_chain(&mut self.ends);
-        let excess = self.ends.len().saturating_sub(MOST_ENDS);
-        self.ends.drain(..excess);
-        self.ends != before
+        let before = self.crashes.clone();
+        self.crashes.push(Crash { endpoint: endpoint.to_owned(), at, since_send });
+        self.crashes.sort_by_key(|crash| crash.at);
+        keep_causal_chain(&mut self.crashes);
+        let excess = self.crashes.len().saturating_sub(MAX_CRASHES);
+        self.crashes.drain(..excess);
+        self.crashes != before
     }
 
-    /// Notes that it ran well; answers whether that was not known. Moments that VMs tell each other become a little
-    /// later each time, and are the same.
+    /// Records that the request ran well and returns whether that was unknown. Times that VMs exchange become slightly
+    /// later with each exchange, so close times are treated as equal.
     pub(crate) fn clear(&mut self, at: Instant) -> bool {
-        let is_known = |cleared: Instant| at < cleared + SAME_RUN_WITHIN;
-        if self.cleared_at.is_some_and(is_known) && self.ends.iter().all(|end| end.at > at) {
+        let is_known = |cleared: Instant| at < cleared + SAME_RUN_TOLERANCE;
+        if self.cleared_at.is_some_and(is_known) && self.crashes.iter().all(|crash| crash.at > at) {
             return false;
         }
         self.cleared_at = self.cleared_at.max(Some(at));
-        self.ends.retain(|end| end.at > at);
+        self.crashes.retain(|crash| crash.at > at);
         true
     }
 
-    /// How much longer it is held back; `None` if it is not.
-    pub(crate) fn held_for(&self, now: Instant) -> Option<Duration> {
-        let term = term_after(self.ends.len())?;
-        let since = now.saturating_duration_since(self.newest()?);
-        term.checked_sub(since).filter(|left| !left.is_zero())
+    /// Remaining time of the quarantine; `None` if the request is not quarantined.
+    pub(crate) fn quarantined_for(&self, now: Instant) -> Option<Duration> {
+        let term = quarantine_term(self.crashes.len())?;
+        let elapsed = now.saturating_duration_since(self.newest()?);
+        term.checked_sub(elapsed).filter(|left| !left.is_zero())
     }
 
-    /// Whether it is too long ago to be remembered.
-    pub(crate) fn is_over(&self, now: Instant) -> bool {
-        self.newest().is_none_or(|newest| now.saturating_duration_since(newest) >= MEMORY)
+    /// Whether the retention time is over.
+    pub(crate) fn is_expired(&self, now: Instant) -> bool {
+        self.newest().is_none_or(|newest| now.saturating_duration_since(newest) >= RETENTION)
     }
 
-    /// As other VMs hear of it.
-    pub(crate) fn to_news(&self, fingerprint: Fingerprint, now: Instant) -> SuspectNews {
+    /// Converts to an update for other VMs.
+    pub(crate) fn to_update(&self, fingerprint: Fingerprint, now: Instant) -> SuspectUpdate {
         let age_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
-        let to_news = |end: &End| EndNews {
-            endpoint: end.endpoint.clone(),
-            age_ms: age_ms(end.at),
-            there_ms: end.there.as_millis() as u64,
+        let to_update = |crash: &Crash| CrashUpdate {
+            endpoint: crash.endpoint.clone(),
+            age_ms: age_ms(crash.at),
+            since_send_ms: crash.since_send.as_millis() as u64,
         };
-        let ends = self.ends.iter().map(to_news).collect();
-        SuspectNews { fingerprint, ends, cleared_age_ms: self.cleared_at.map(age_ms) }
+        let crashes = self.crashes.iter().map(to_update).collect();
+        SuspectUpdate { fingerprint, crashes, cleared_age_ms: self.cleared_at.map(age_ms) }
     }
 
-    /// Takes what another VM or the store tells; answers whether that changed anything.
-    pub(crate) fn take_news(&mut self, news: &SuspectNews, now: Instant) -> bool {
+    /// Merges an update from another VM or the store and returns whether it changed anything.
+    pub(crate) fn merge(&mut self, update: &SuspectUpdate, now: Instant) -> bool {
         let at = |age_ms: u64| now.checked_sub(Duration::from_millis(age_ms)).unwrap_or(now);
-        let mut has_changed = news.cleared_age_ms.is_some_and(|age_ms| self.clear(at(age_ms)));
-        for end in news.ends.iter().take(MOST_ENDS) {
-            let there = Duration::from_millis(end.there_ms);
-            has_changed |= self.add_end(&end.endpoint, at(end.age_ms), there);
+        let mut has_changed = update.cleared_age_ms.is_some_and(|age_ms| self.clear(at(age_ms)));
+        for crash in update.crashes.iter().take(MAX_CRASHES) {
+            let since_send = Duration::from_millis(crash.since_send_ms);
+            has_changed |= self.add_crash(&crash.endpoint, at(crash.age_ms), since_send);
         }
         has_changed
     }
--- a/crates/sillbank_quarantine/tests/fingerprint.rs
+++ b/crates/sillbank_quarantine/tests/fingerprint.rs
@@ -1,13 +1,14 @@
-//! Which requests count as the same one.
+//! Tests of which requests count as equal.
 
 use sillbank_quarantine::prelude::*;
 
-fn request() -> RequestParts<'static> {
-    RequestParts { host: "h", path: "/a/b?c=d", organisation: Some("alpha"), body: b"hello" }
+fn request() -> RequestIdentity<'static> {
+    RequestIdentity { host: "h", path: "/a/b?c=d", organisation: Some("alpha"), body: b"hello" }
 }
 
+/// Requests with the same path, caller and body have the same fingerprint.
 #[test]
-fn the_same_path_caller_and_body_make_the_same_request() {
+fn equal_requests_have_equal_fingerprints() {
     // Arrange
     let (first, next) = (request(), request());
 
@@ -18,16 +19,17 @@
     assert_eq!(fingerprints.0, fingerprints.1);
 }
 
+/// A different host, path, caller or body gives a different fingerprint, also if parts only move between fields.
 #[test]
-fn another_host_path_caller_or_body_makes_another_request() {
+fn different_requests_have_different_fingerprints() {
     // Arrange
     let others = [
-        RequestParts { host: "i", ..request() },
-        RequestParts { path: "/a/b", ..request() },
-        RequestParts { organisation: Some("beta"), ..request() },
-        RequestParts { organisation: None, ..request() },
-        RequestParts { body: b"hell", ..request() },
-        RequestParts { path: "/a/b?c=dhello", body: b"", ..request() },
+        RequestIdentity { host: "i", ..request() },
+        RequestIdentity { path: "/a/b", ..request() },
+        RequestIdentity { organisation: Some("beta"), ..request() },
+        RequestIdentity { organisation: None, ..request() },
+        RequestIdentity { body: b"hell", ..request() },
+        RequestIdentity { path: "/a/b?c=dhello", body: b"", ..request() },
     ];
 
     // Act
