--- a/crates/sillbank_admission/src/shedding.rs
+++ b/crates/sillbank_admission/src/shedding.rs
@@ -19,9 +19,9 @@
 /// Rank of an organisation or a route; 0 is the most urgent.
 pub type Rank = u8;
 
-/// Priority of a request; the smallest value goes first. Its `Debug` output is part of the documented log lines.
+/// Priority of a request; the smallest value goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Urgency {
+pub struct Priority {
     /// Rank of the organisation, which is compared before that of the route. An organisation without a rank has that
     /// of the route, but at most the middle of 0 to 9.
     pub organisation: Rank,
@@ -29,14 +29,13 @@
     pub route: Rank,
 }
 
-/// Priority class of requests in the order of admission; the smallest value goes first. Its `Debug` output is part of
-/// the documented log lines.
+/// Class of requests in the order of admission; the smallest value goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rung {
+pub struct PriorityClass {
     /// Whether the request comes too late to be answered in time.
     pub is_late: bool,
     /// Priority of the request.
-    pub urgency: Urgency,
+    pub priority: Priority,
 }
 
 /// Maximum number of distinct classes; bounds the work for any number of ranks. Requests less urgent than all
@@ -55,13 +54,13 @@
 #[derive(Debug, Clone, Default)]
 pub struct PriorityShedder {
     /// Requests of each class, each with a weight that decays with its age.
-    requests: BTreeMap<Rung, f64>,
+    requests: BTreeMap<PriorityClass, f64>,
     updated_at: Option<Instant>,
 }
 
 impl PriorityShedder {
     /// Records a request of a class.
-    pub fn record_request(&mut self, now: Instant, class: Rung) {
+    pub fn record_request(&mut self, now: Instant, class: PriorityClass) {
         self.decay(now);
         *self.requests.entry(class).or_default() += 1.0;
         while self.requests.len() > MAX_CLASSES {
@@ -74,7 +73,7 @@
 
     /// Share of the requests of a class that is admitted if `total_share` of all requests is; 1 if `total_share` is
     /// NaN.
-    pub fn admitted_share(&self, class: Rung, total_share: f64) -> f64 {
+    pub fn admitted_share(&self, class: PriorityClass, total_share: f64) -> f64 {
         let class = self.counted_as(class);
         let total: f64 = self.requests.values().sum();
         let before: f64 = self.requests.range(..class).map(|(_, weight)| weight).sum();
@@ -87,13 +86,13 @@
     }
 
     /// The most urgent class of which not all requests are admitted; `None` if all requests are.
-    pub fn first_shed_class(&self, total_share: f64) -> Option<Rung> {
-        let is_shed = |class: &&Rung| self.admitted_share(**class, total_share) < 1.0;
+    pub fn first_shed_class(&self, total_share: f64) -> Option<PriorityClass> {
+        let is_shed = |class: &&PriorityClass| self.admitted_share(**class, total_share) < 1.0;
         self.requests.keys().find(is_shed).copied()
     }
 
     /// The class under which a request is counted: the last one if the request is less urgent than all classes.
-    fn counted_as(&self, class: Rung) -> Rung {
+    fn counted_as(&self, class: PriorityClass) -> PriorityClass {
         let last = self.requests.last_key_value().map(|(last, _)| *last);
         last.filter(|last| self.requests.len() >= MAX_CLASSES && *last < class).unwrap_or(class)
     }
--- a/crates/sillbank_admission/tests/ladder.rs
+++ b/crates/sillbank_admission/tests/ladder.rs
@@ -1,16 +1,16 @@
 //! Tests of the admitted share of each class.
 
 use arbitrary::{Result, Unstructured};
-use sillbank_admission::shedding::{PriorityShedder, Rung, Urgency};
+use sillbank_admission::shedding::{Priority, PriorityClass, PriorityShedder};
 use sillbank_testing::for_fixed_seeds;
 use std::time::{Duration, Instant};
 
-fn class(organisation: u8, is_late: bool) -> Rung {
-    Rung { is_late, urgency: Urgency { organisation, route: 0 } }
+fn class(organisation: u8, is_late: bool) -> PriorityClass {
+    PriorityClass { is_late, priority: Priority { organisation, route: 0 } }
 }
 
 /// A shedder that has recorded a number of requests of each class.
-fn shedder_with(classes: &[(Rung, u32)]) -> PriorityShedder {
+fn shedder_with(classes: &[(PriorityClass, u32)]) -> PriorityShedder {
     let (now, mut shedder) = (Instant::now(), PriorityShedder::default());
     for (class, times) in classes {
         (0..*times).for_each(|_| shedder.record_request(now, *class));
@@ -19,11 +19,11 @@
 }
 
 /// Arbitrary classes, each with a number of requests.
-fn any_classes(u: &mut Unstructured<'_>) -> Result<Vec<(Rung, u32)>> {
+fn any_classes(u: &mut Unstructured<'_>) -> Result<Vec<(PriorityClass, u32)>> {
     (0..u.int_in_range(1..=60)?)
         .map(|_| {
-            let urgency = Urgency { organisation: u.arbitrary()?, route: u.int_in_range(0..=2)? };
-            Ok((Rung { is_late: u.arbitrary()?, urgency }, u.int_in_range(1..=9)?))
+            let priority = Priority { organisation: u.arbitrary()?, route: u.int_in_range(0..=2)? };
+            Ok((PriorityClass { is_late: u.arbitrary()?, priority }, u.int_in_range(1..=9)?))
         })
         .collect()
 }
@@ -56,8 +56,10 @@
 /// The rank of the organisation is compared first, that of the route second.
 #[test]
 fn route_rank_decides_between_organisations_of_equal_rank() {
-    let of =
-        |organisation, route| Rung { is_late: false, urgency: Urgency { organisation, route } };
+    let of = |organisation, route| PriorityClass {
+        is_late: false,
+        priority: Priority { organisation, route },
+    };
     let shedder = shedder_with(&[(of(1, 0), 10), (of(0, 2), 10), (of(1, 1), 10)]);
 
     let shares =
@@ -73,7 +75,7 @@
         let classes = any_classes(u)?;
         let shedder = shedder_with(&classes);
         let total_share = f64::from(u.int_in_range(0..=1_000_u32)?) / 1_000.0;
-        let mut in_order: Vec<Rung> = classes.iter().map(|(class, _)| *class).collect();
+        let mut in_order: Vec<PriorityClass> = classes.iter().map(|(class, _)| *class).collect();
         in_order.sort();
 
         let shares = |total| in_order.iter().map(move |class| (*class, total));
@@ -149,9 +151,9 @@
 #[test]
 fn requests_beyond_the_maximum_of_classes_count_as_the_last_class() {
     let kinds = (0..250).flat_map(|organisation| (0..4).map(move |route| (organisation, route)));
-    let classes: Vec<(Rung, u32)> = kinds
+    let classes: Vec<(PriorityClass, u32)> = kinds
         .map(|(organisation, route)| {
-            (Rung { is_late: false, urgency: Urgency { organisation, route } }, 1)
+            (PriorityClass { is_late: false, priority: Priority { organisation, route } }, 1)
         })
         .collect();
     let shedder = shedder_with(&classes);
--- a/crates/sillbank_admission/tests/support/mod.rs
+++ b/crates/sillbank_admission/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Small simulation of a fleet under load: VMs that shed load by priority, engines that fill up, callers that retry.
 
 use sillbank_admission::share_controller::ShareController;
-use sillbank_admission::shedding::{PriorityShedder, Rung, Urgency};
+use sillbank_admission::shedding::{Priority, PriorityClass, PriorityShedder};
 use std::time::{Duration, Instant};
 
 pub(crate) const STEPS_PER_S: usize = 100;
@@ -94,7 +94,7 @@
     }
 
     /// Sends a request to one VM, which forwards it to the engines if it admits it. It runs longer the fuller they are.
-    fn request(&mut self, vm: usize, now: Instant, class: Rung, capacity: f64) -> Counts {
+    fn request(&mut self, vm: usize, now: Instant, class: PriorityClass, capacity: f64) -> Counts {
         let (shedder, controller) = &mut self.vms[vm];
         shedder.record_request(now, class);
         let share = shedder.admitted_share(class, controller.share());
@@ -123,6 +123,6 @@
     }
 }
 
-pub(crate) fn class(rank: u8, is_late: bool) -> Rung {
-    Rung { is_late, urgency: Urgency { organisation: rank, route: 0 } }
+pub(crate) fn class(rank: u8, is_late: bool) -> PriorityClass {
+    PriorityClass { is_late, priority: Priority { organisation: rank, route: 0 } }
 }
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -10,7 +10,7 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, Request, Uri};
 use sillbank_admission::retry_after::CallerId;
-use sillbank_admission::shedding::Urgency;
+use sillbank_admission::shedding::Priority;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_core::run::RunLog;
@@ -144,8 +144,8 @@
     }
 
     /// How urgent it is beside others that ask for the same engines.
-    pub fn urgency(&self) -> Urgency {
-        Urgency { organisation: self.priority(), route: self.route.priority }
+    pub fn urgency(&self) -> Priority {
+        Priority { organisation: self.priority(), route: self.route.priority }
     }
 
     /// Its rank; 0 goes first.
--- a/crates/sillbank_gateway/src/ladder_metrics.rs
+++ b/crates/sillbank_gateway/src/ladder_metrics.rs
@@ -6,7 +6,7 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
-use sillbank_admission::shedding::Urgency;
+use sillbank_admission::shedding::Priority;
 use sillbank_demand::counted_rank;
 
 /// Label of a request's way up the ladder.
@@ -47,7 +47,7 @@
     }
 
     /// Counts what became of a request.
-    pub fn on_asked(&self, service: &str, urgency: Urgency, answer: Result<(), NotLetIn>) {
+    pub fn on_asked(&self, service: &str, urgency: Priority, answer: Result<(), NotLetIn>) {
         let end = match answer {
             Ok(()) => "let_in",
             Err(NotLetIn { is_late: false, .. }) => "refused_rank",
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -10,7 +10,7 @@
 use sillbank_admission::elapsed::ElapsedEstimator;
 use sillbank_admission::refusal_ratio::RefusalRatio;
 use sillbank_admission::share_controller::ShareController;
-use sillbank_admission::shedding::{PriorityShedder, Rung, Urgency};
+use sillbank_admission::shedding::{Priority, PriorityClass, PriorityShedder};
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -40,7 +40,7 @@
     /// Route.
     pub route: &'a Route,
     /// How urgent the request is.
-    pub urgency: Urgency,
+    pub urgency: Priority,
     /// Time that its caller has left, if it told.
     pub left: Option<Duration>,
     /// A number that was drawn evenly from 0 to 1. The request is let in if it is below the share of its rung.
@@ -82,7 +82,7 @@
     /// When somebody was held back last.
     held_back: Option<Instant>,
     /// When the log last told which rungs are held back, and the first of them.
-    logged: Option<(Instant, Option<Rung>)>,
+    logged: Option<(Instant, Option<PriorityClass>)>,
 }
 
 impl FleetLoad {
@@ -95,7 +95,7 @@
         let load = services.entry(ask.service.name.clone()).or_default();
         let fullness = load.fullness(views, ask);
         let is_late = self.is_late(ask, load.is_calm(views.now));
-        let rung = Rung { is_late, urgency: ask.urgency };
+        let rung = PriorityClass { is_late, priority: ask.urgency };
         load.ladder.record_request(views.now, rung);
         let share = load.ladder.admitted_share(rung, load.level.share());
         load.log(views.now, &ask.service.name, fullness);
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -4,7 +4,7 @@
 mod engines;
 
 use engines::{LAYERS, SLOTS, service};
-use sillbank_admission::shedding::Urgency;
+use sillbank_admission::shedding::Priority;
 use sillbank_catalog::prelude::*;
 use sillbank_core::chance::Chance;
 use sillbank_core::prelude::*;
@@ -131,7 +131,7 @@
             service: &self.service,
             figures,
             route: &self.route,
-            urgency: Urgency { organisation: rank, route: 0 },
+            urgency: Priority { organisation: rank, route: 0 },
             left: Some(left),
             draw: 0.5,
         };
@@ -320,7 +320,7 @@
     let vm = Vm::new();
     let figures = vm.service.engine.as_ref().expect("it has one");
     for draw in [0.0, 1.0, f64::NAN] {
-        let urgency = Urgency { organisation: 9, route: 9 };
+        let urgency = Priority { organisation: 9, route: 9 };
         let (service, route) = (&vm.service, &vm.route);
         let ask = LoadAsk { service, figures, route, urgency, left: None, draw };
 
@@ -332,7 +332,7 @@
 fn requests_are_counted_by_rank_and_end_and_absurd_ranks_as_the_last() {
     let metrics = LadderMetrics::default();
     let late = NotLetIn { fullness: 1.0, is_late: true };
-    let of = |organisation| Urgency { organisation, route: 0 };
+    let of = |organisation| Priority { organisation, route: 0 };
 
     metrics.on_asked("gen", of(1), Ok(()));
     metrics.on_asked("gen", of(1), Err(NotLetIn { is_late: false, ..late }));
