--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -78,8 +78,8 @@
     }
     gateway.on_told_demand(ask, began);
     let teller = match ask.hall == gateway.settings().hall {
-        true => Teller::Member,
-        false => Teller::Leader,
+        true => UpdateSource::Member,
+        false => UpdateSource::Leader,
     };
     gateway.on_told_suspects(&ask.suspects, teller);
     gateway.on_told_limits(&ask.limits, "another VM");
@@ -115,12 +115,12 @@
         catalog: catalog.map(|parts| (*parts).clone()),
         endpoints: endpoint_news(gateway, seen),
         boards,
-        quarantine: gateway.quarantine.borrow().news_since(
+        quarantine: gateway.quarantine.borrow().updates_since(
             seen.map_or(0, |seen| seen.quarantine),
             MOST_SUSPECTS,
             now,
         ),
-        limits: gateway.pushback.borrow().news_since(
+        limits: gateway.pushback.borrow().updates_since(
             seen.map_or(0, |seen| seen.limits),
             MOST_LIMITS,
             now,
@@ -136,7 +136,7 @@
 ) -> bool {
     let newest = gateway.knowledge.endpoints(Directory::newest_change);
     let urgent = gateway.quarantine.borrow().newest_urgent();
-    let limits = gateway.pushback.borrow().newest();
+    let limits = gateway.pushback.borrow().newest_change();
     let is_new = |seen: SeenMark| {
         seen.endpoints != newest || seen.quarantine < urgent || seen.limits < limits
     };
