--- a/crates/sillbank_gateway/src/call_tracker.rs
+++ b/crates/sillbank_gateway/src/call_tracker.rs
@@ -1,6 +1,6 @@
 //! Answer times and refusals of the endpoints of plain services, by service.
 
-use sillbank_admission::calls::CallTimes;
+use sillbank_admission::calls::CallBalancer;
 use sillbank_core::prelude::*;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,12 +9,12 @@
 /// Observed answer times and refusals by service.
 #[derive(Debug, Default)]
 pub struct CallTracker {
-    by_service: RefCell<HashMap<ServiceId, CallTimes>>,
+    by_service: RefCell<HashMap<ServiceId, CallBalancer>>,
 }
 
 impl CallTracker {
     /// Reads or changes what was observed of a service's endpoints.
-    pub fn with<T>(&self, service: &str, change: impl FnOnce(&mut CallTimes) -> T) -> T {
+    pub fn with<T>(&self, service: &str, change: impl FnOnce(&mut CallBalancer) -> T) -> T {
         let mut by_service = self.by_service.borrow_mut();
         if let Some(times) = by_service.get_mut(service) {
             return change(times);
@@ -53,12 +53,12 @@
 impl CallTimer<'_> {
     /// A complete answer arrived.
     pub fn record_answer(mut self) {
-        self.record(|times, endpoint, took, now| times.on_answer(endpoint, took, now));
+        self.record(|times, endpoint, took, now| times.record_answer(endpoint, took, now));
     }
 
     /// The endpoint had no free slot.
     pub fn record_full(mut self) {
-        self.record(|times, endpoint, _, now| times.on_full(endpoint, now));
+        self.record(|times, endpoint, _, now| times.record_full(endpoint, now));
     }
 
     /// The call did not reach the endpoint, so it says nothing about its times.
@@ -66,7 +66,7 @@
         self.is_recorded = true;
     }
 
-    fn record(&mut self, change: impl FnOnce(&mut CallTimes, &str, Duration, Instant)) {
+    fn record(&mut self, change: impl FnOnce(&mut CallBalancer, &str, Duration, Instant)) {
         let now = Instant::now();
         let took = now.saturating_duration_since(self.sent_at);
         self.tracker.with(self.service, |times| change(times, self.endpoint, took, now));
@@ -77,7 +77,9 @@
 impl Drop for CallTimer<'_> {
     fn drop(&mut self) {
         if !self.is_recorded {
-            self.record(|times, endpoint, after, now| times.on_unanswered(endpoint, after, now));
+            self.record(|times, endpoint, after, now| {
+                times.record_unanswered(endpoint, after, now)
+            });
         }
     }
 }
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -11,7 +11,7 @@
 use crate::job::Job;
 use crate::metrics::{DemandLabel, RateLabel};
 use crate::wire::Wire;
-use sillbank_admission::returns::{FleetFlow, Refusal, ReturnTimes};
+use sillbank_admission::retry_after::{FleetRates, RefusedRequest, RetryScheduler};
 use sillbank_core::prelude::*;
 use sillbank_demand::prelude::*;
 use sillbank_demand::{MAX_SERVICES, add_rates};
@@ -23,9 +23,9 @@
 #[derive(Debug)]
 pub struct DemandTracker {
     counter: RefCell<DemandCounter>,
-    aggregator: RefCell<DemandSum>,
-    retry_detector: RefCell<RouteTimes>,
-    schedulers: RefCell<HashMap<ServiceId, ReturnTimes>>,
+    aggregator: RefCell<DemandAggregator>,
+    retry_detector: RefCell<RetryDetector>,
+    schedulers: RefCell<HashMap<ServiceId, RetryScheduler>>,
     /// Offset of this VM in the schedule of retry times, from 0 to 1, so that VMs do not schedule
     /// their first retries alike.
     phase: f64,
@@ -40,7 +40,7 @@
     pub fn new(incarnation: Incarnation, now: Instant) -> Self {
         Self {
             counter: RefCell::new(DemandCounter::new(incarnation, now)),
-            aggregator: RefCell::new(DemandSum::new(now)),
+            aggregator: RefCell::new(DemandAggregator::new(now)),
             retry_detector: RefCell::default(),
             schedulers: RefCell::default(),
             phase: (incarnation % PHASES) as f64 / PHASES as f64,
@@ -52,13 +52,13 @@
         &self,
         service: &str,
         now: Instant,
-        change: impl FnOnce(&mut ReturnTimes) -> T,
+        change: impl FnOnce(&mut RetryScheduler) -> T,
     ) -> T {
         let mut all = self.schedulers.borrow_mut();
         if let Some(scheduler) = all.get_mut(service) {
             return change(scheduler);
         }
-        let mut scheduler = ReturnTimes::new(now, self.phase);
+        let mut scheduler = RetryScheduler::new(now, self.phase);
         let answer = change(&mut scheduler);
         all.insert(service.to_owned(), scheduler);
         answer
@@ -97,7 +97,7 @@
         if !is_reported {
             let (rates, vms) = own();
             let all: Vec<DemandRate> =
-                rates.into_iter().map(|rate| rate.times(f64::from(vms))).collect();
+                rates.into_iter().map(|rate| rate.scaled(f64::from(vms))).collect();
             add_rates(&mut fleet.rates, &all);
             fleet.vms += vms;
         }
@@ -109,8 +109,8 @@
     /// Counts a request on arrival.
     pub fn count_offered(&self, job: &Job) {
         let mut retry_detector = self.demand.retry_detector.borrow_mut();
-        let is_retry = retry_detector.is_returning(job.began, &job.route.name, job.head.time_left);
-        let event = if is_retry { Event::Returned } else { Event::Offered };
+        let is_retry = retry_detector.is_retry(job.began, &job.route.name, job.head.time_left);
+        let event = if is_retry { DemandEvent::Retried } else { DemandEvent::Offered };
         self.count_demand(job, event);
     }
 
@@ -119,17 +119,18 @@
     pub fn on_admitted(&self, job: &Job) {
         let now = Instant::now();
         self.load.on_sent(&job.service.name, true, now);
-        let record = |scheduler: &mut ReturnTimes| scheduler.on_let_in(now, job.priority());
+        let record =
+            |scheduler: &mut RetryScheduler| scheduler.record_admitted(now, job.priority());
         self.demand.with_scheduler(&job.service.name, now, record);
-        self.count_once(job, Event::LetIn);
+        self.count_once(job, DemandEvent::Admitted);
     }
 
     /// Counts the outcome of a finished request.
     pub fn count_end(&self, job: &Job, outcome: Outcome) {
         match outcome {
-            Outcome::Refused => self.count_once(job, Event::Refused),
+            Outcome::Refused => self.count_once(job, DemandEvent::Refused),
             Outcome::Answered | Outcome::Failed | Outcome::BrokenOff => {
-                self.count_once(job, Event::LetIn);
+                self.count_once(job, DemandEvent::Admitted);
             }
             Outcome::CallerLeft => {}
         }
@@ -138,17 +139,26 @@
     /// When the caller of a request that is refused for lack of room should retry.
     pub fn retry_after(&self, job: &Job) -> Duration {
         let now = Instant::now();
-        let refusal =
-            Refusal { rank: job.priority(), time_left: job.time_left(now), caller: job.caller };
+        let refusal = RefusedRequest {
+            rank: job.priority(),
+            time_left: job.time_left(now),
+            caller: job.caller,
+        };
         self.retry_after_for(&job.service.name, refusal, now)
     }
 
     /// When the caller of a refused request of a service should retry.
-    pub fn retry_after_for(&self, service: &str, refusal: Refusal, now: Instant) -> Duration {
+    pub fn retry_after_for(
+        &self,
+        service: &str,
+        refusal: RefusedRequest,
+        now: Instant,
+    ) -> Duration {
         let fleet = self.fleet_demand(service, now);
         let is_used = fleet.is_reported && self.settings.borrow().mechanisms.fleet_demand;
-        let flow = is_used.then_some(FleetFlow { rates: &fleet.rates, vms: fleet.vms });
-        let schedule = |scheduler: &mut ReturnTimes| scheduler.on_refused(now, refusal, flow);
+        let flow = is_used.then_some(FleetRates { rates: &fleet.rates, vms: fleet.vms });
+        let schedule =
+            |scheduler: &mut RetryScheduler| scheduler.schedule_retry(now, refusal, flow);
         self.demand.with_scheduler(service, now, schedule)
     }
 
@@ -179,7 +189,7 @@
         };
         let is_of_hall = request.hall == self.settings.borrow().hall;
         if is_of_hall && self.hall.acting_fence.get().is_some() {
-            self.demand.aggregator.borrow_mut().hear(now, &request.vm, report);
+            self.demand.aggregator.borrow_mut().on_report(now, &request.vm, report);
         }
     }
 
@@ -191,7 +201,7 @@
         }
         let own = self.demand.counter.borrow().report(now);
         let mut aggregator = self.demand.aggregator.borrow_mut();
-        aggregator.hear(now, &settings.vm, &own);
+        aggregator.on_report(now, &settings.vm, &own);
         Some(HallRates { age_ms: 0, rates: aggregator.rates(now)? })
     }
 
@@ -217,19 +227,19 @@
             self.metrics.fleet_demand_per_s.get_or_create(&label).set(per_s);
         };
         set("offered", rate.offered_per_s);
-        set("let_in", rate.let_in_per_s);
+        set("let_in", rate.admitted_per_s);
         set("refused", rate.refused_per_s);
-        set("returning", rate.returning_per_s);
+        set("returning", rate.retries_per_s);
     }
 
-    fn count_once(&self, job: &Job, event: Event) {
+    fn count_once(&self, job: &Job, event: DemandEvent) {
         if !job.is_counted.replace(true) {
             self.count_demand(job, event);
         }
     }
 
-    fn count_demand(&self, job: &Job, event: Event) {
-        let (service, rank) = (&job.service.name, counted_rank(job.priority()));
+    fn count_demand(&self, job: &Job, event: DemandEvent) {
+        let (service, rank) = (&job.service.name, clamp_rank(job.priority()));
         if !self.demand.counter.borrow_mut().count(Instant::now(), service, rank, event) {
             return;
         }
@@ -238,13 +248,13 @@
             self.metrics.demand.get_or_create(&label).inc();
         };
         match event {
-            Event::Offered => count("offered"),
-            Event::Returned => {
+            DemandEvent::Offered => count("offered"),
+            DemandEvent::Retried => {
                 count("offered");
                 count("returning");
             }
-            Event::LetIn => count("let_in"),
-            Event::Refused => count("refused"),
+            DemandEvent::Admitted => count("let_in"),
+            DemandEvent::Refused => count("refused"),
         }
     }
 
--- a/crates/sillbank_gateway/src/endpoints.rs
+++ b/crates/sillbank_gateway/src/endpoints.rs
@@ -160,9 +160,9 @@
     }
 
     /// What this VM sent to an engine since `moment`, minus what has ended.
-    pub fn sent_since(&self, endpoint: &str, moment: Instant) -> Unseen {
+    pub fn sent_since(&self, endpoint: &str, moment: Instant) -> UnreportedLoad {
         let states = self.states.borrow();
-        states.get(endpoint).map_or_else(Unseen::default, |state| state.sends.since(moment))
+        states.get(endpoint).map_or_else(UnreportedLoad::default, |state| state.sends.since(moment))
     }
 
     /// Requests of this VM in flight at an endpoint.
--- a/crates/sillbank_gateway/src/feed/client.rs
+++ b/crates/sillbank_gateway/src/feed/client.rs
@@ -198,14 +198,17 @@
         };
         connection.reset_if_reread(gateway.platform.rereads());
         let settings = gateway.settings();
-        let new_suspects = gateway.quarantine.borrow().witnessed_since(
+        let new_suspects = gateway.quarantine.borrow().observed_updates_since(
             connection.suspects_sent,
             MAX_SENT_SUSPECTS,
             Instant::now(),
         );
         let (now, parts_from) = (Instant::now(), kind.parts_from());
-        let new_limits =
-            gateway.pushback.borrow().witnessed_since(connection.limits_sent, MAX_SENT_LIMITS, now);
+        let new_limits = gateway.pushback.borrow().observed_updates_since(
+            connection.limits_sent,
+            MAX_SENT_LIMITS,
+            now,
+        );
         let request = FeedRequest {
             vm: settings.vm.clone(),
             hall: settings.hall.clone(),
@@ -259,7 +262,7 @@
         let EndpointUpdate { at, difference } = endpoints;
         gateway.on_reported_endpoints(&mut connection.endpoints, at, difference, takes_endpoints);
     }
-    gateway.on_reported_suspects(&update.quarantine.suspects, Teller::Leader);
+    gateway.on_reported_suspects(&update.quarantine.suspects, UpdateSource::Leader);
     if gateway.hall.acting_fence.get().is_none() {
         gateway.on_quarantine_loaded();
     }
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -54,11 +54,11 @@
     /// Demand on it in the last second, for the leader of its own hall.
     pub demand: Option<DemandReport>,
     /// Crashes under requests that it witnessed and has not reported yet.
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectUpdate>,
     /// Rate limits that endpoints sent it and that it has not reported yet.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// Rates that it, or as a leader its hall, would send to endpoints with a limit.
-    pub wants: Vec<Want>,
+    pub wants: Vec<RateDemand>,
 }
 
 /// Changes of the leader's directory that the follower lacks.
@@ -162,11 +162,15 @@
 
 impl EngineState {
     /// Builds the state from an engine's latest report, which is `None` if the engine is lost.
-    /// `newest_life` is the engine's incarnation.
-    pub fn new(id: EndpointId, newest_life: Option<BornMs>, report: Option<&EngineReport>) -> Self {
+    /// `newest_incarnation` is the engine's incarnation.
+    pub fn new(
+        id: EndpointId,
+        newest_incarnation: Option<BornMs>,
+        report: Option<&EngineReport>,
+    ) -> Self {
         Self {
             id,
-            born_ms: newest_life,
+            born_ms: newest_incarnation,
             is_lost: report.is_none(),
             layers: report.and_then(|report| report.layers),
             waiting: report.map_or(0, |report| report.waiting),
@@ -222,11 +226,11 @@
     /// Reports of all halls, as far as they are new to the follower.
     pub hall_reports: Vec<HallReport>,
     /// Changes of the quarantine list that are new to the follower.
-    pub quarantine: QuarantineNews,
+    pub quarantine: QuarantineUpdate,
     /// Rate limits of endpoints that are new to the follower.
-    pub limits: LimitsNews,
+    pub limits: LimitUpdates,
     /// The follower's parts of rate limits, or those of its hall if it leads another one.
-    pub parts: Vec<PartNews>,
+    pub parts: Vec<RateLeaseGrant>,
 }
 
 impl FeedUpdate {
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -85,8 +85,8 @@
     }
     gateway.on_reported_demand(request, began);
     let teller = match request.hall == gateway.settings().hall {
-        true => Teller::Member,
-        false => Teller::Leader,
+        true => UpdateSource::Member,
+        false => UpdateSource::Leader,
     };
     gateway.on_reported_suspects(&request.suspects, teller);
     gateway.on_reported_limits(&request.limits, "another VM");
@@ -129,12 +129,12 @@
         catalog: catalog.map(|parts| (*parts).clone()),
         endpoints: endpoint_update(gateway, cursor),
         hall_reports,
-        quarantine: gateway.quarantine.borrow().news_since(
+        quarantine: gateway.quarantine.borrow().updates_since(
             cursor.map_or(0, |cursor| cursor.quarantine),
             MAX_SUSPECTS,
             now,
         ),
-        limits: gateway.pushback.borrow().news_since(
+        limits: gateway.pushback.borrow().updates_since(
             cursor.map_or(0, |cursor| cursor.limits),
             MAX_LIMITS,
             now,
@@ -150,7 +150,7 @@
 ) -> bool {
     let newest = gateway.platform.endpoints(Directory::newest_change);
     let urgent = gateway.quarantine.borrow().newest_urgent();
-    let limits = gateway.pushback.borrow().newest();
+    let limits = gateway.pushback.borrow().newest_change();
     let is_new = |cursor: FeedCursor| {
         cursor.endpoints != newest || cursor.quarantine < urgent || cursor.limits < limits
     };
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -74,7 +74,7 @@
     /// Endpoints that ended while they ran a request.
     pub ends: EndedEndpoints,
     /// Rate limits and pauses that endpoints asked for in their answers.
-    pub pushback: RefCell<PushbackBook>,
+    pub pushback: RefCell<PushbackTracker>,
     /// Parts of the endpoints' rate limits that this VM hands out while it leads.
     pub limit_parts: LimitParts,
     /// Requests during which endpoints ended.
@@ -262,7 +262,7 @@
         self.metrics.store_era.set(at.era as i64);
         self.platform.on_call_answered(sent);
         if !self.store_reached.replace(true) {
-            self.platform.on_store_back(Instant::now());
+            self.platform.on_store_recovered(Instant::now());
             tracing::info!(follower, "store: Back.");
         }
     }
--- a/crates/sillbank_gateway/src/hall_reports.rs
+++ b/crates/sillbank_gateway/src/hall_reports.rs
@@ -3,7 +3,7 @@
 use crate::feed::{EngineState, HallRates, HallReport};
 use sillbank_core::prelude::*;
 use sillbank_demand::prelude::*;
-use sillbank_demand::{BELIEVED, MAX_RANKS, MAX_SERVICES};
+use sillbank_demand::{FRESH_FOR, MAX_RANKS, MAX_SERVICES};
 use sillbank_fleet::prelude::*;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -100,7 +100,7 @@
         for state in engines {
             let known = stored.engines.get(&state.id);
             let known_life = known.and_then(|known| known.state.born_ms);
-            if compare_lives(state.born_ms, known_life) == LifeOrder::Older {
+            if compare_incarnations(state.born_ms, known_life) == IncarnationOrder::Older {
                 continue;
             }
             if known.is_none_or(|known| !known.state.is_similar(&state)) {
@@ -184,9 +184,11 @@
     }
 
     /// Drops states of earlier incarnations of an engine.
-    pub fn on_restart(&self, id: &str, newest_life: Option<BornMs>) {
+    pub fn on_restart(&self, id: &str, newest_incarnation: Option<BornMs>) {
         let is_older = |state: &EngineState| {
-            state.id == id && compare_lives(state.born_ms, newest_life) == LifeOrder::Older
+            state.id == id
+                && compare_incarnations(state.born_ms, newest_incarnation)
+                    == IncarnationOrder::Older
         };
         for stored in self.by_hall.borrow_mut().values_mut() {
             stored.engines.retain(|_, engine| !is_older(&engine.state));
@@ -222,7 +224,7 @@
 
     fn recent_demand(&self, now: Instant) -> Option<&StoredDemand> {
         let age = |demand: &&StoredDemand| now.saturating_duration_since(demand.as_of);
-        self.demand.as_ref().filter(|demand| age(demand) < BELIEVED)
+        self.demand.as_ref().filter(|demand| age(demand) < FRESH_FOR)
     }
 }
 
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -9,8 +9,8 @@
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, Request, Uri};
-use sillbank_admission::ladder::Urgency;
-use sillbank_admission::returns::CallerMark;
+use sillbank_admission::retry_after::CallerId;
+use sillbank_admission::shedding::Priority;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_core::run::RunLog;
@@ -61,7 +61,7 @@
     /// What its caller was likely to see, by its first send; `None` where that cannot be told.
     pub foretold: OnceCell<Option<Foretold>>,
     /// Key and connection that it came with, to tell callers who repeat at once.
-    pub caller: Option<CallerMark>,
+    pub caller: Option<CallerId>,
     /// Its fingerprint, once it was asked for.
     pub known_fingerprint: OnceCell<Fingerprint>,
     /// Whether it was counted as let in or refused.
@@ -76,7 +76,7 @@
 
     /// What tells that another try of its caller is the same request.
     pub fn fingerprint(&self) -> Fingerprint {
-        let parts = || RequestParts {
+        let parts = || RequestIdentity {
             host: &self.route.host,
             path: self.target.path_and_query().map_or("", |path| path.as_str()),
             organisation: self.organisation.as_ref().map(|o| o.name.as_str()),
@@ -87,7 +87,7 @@
 
     /// Whether it may run more than once.
     pub fn may_repeat(&self) -> bool {
-        self.route.kind.repeat() == Repeat::Safe
+        self.route.kind.idempotency() == Idempotency::Idempotent
     }
 
     /// Whether it may be sent once more by the route's limit and by the time that is left.
@@ -133,19 +133,19 @@
     }
 
     /// What it asks of engines: its size as the caller tells it, or the service's usual size.
-    pub fn demand(&self, figures: &EngineFigures) -> Demand {
-        let usual = Demand::usual(figures);
+    pub fn demand(&self, figures: &EngineFigures) -> RequestSize {
+        let usual = RequestSize::usual(figures);
         let Some(tokens) = self.head.tokens else {
             return usual;
         };
         let most = f64::from(tokens.most_output);
         let likely = tokens.likely_output.map_or(usual.answer_tokens, f64::from);
-        Demand { prompt_tokens: f64::from(tokens.prompt), answer_tokens: likely.min(most) }
+        RequestSize { prompt_tokens: f64::from(tokens.prompt), answer_tokens: likely.min(most) }
     }
 
     /// How urgent it is beside others that ask for the same engines.
-    pub fn urgency(&self) -> Urgency {
-        Urgency { organisation: self.priority(), route: self.route.priority }
+    pub fn urgency(&self) -> Priority {
+        Priority { organisation: self.priority(), route: self.route.priority }
     }
 
     /// Its rank; 0 goes first.
@@ -197,7 +197,7 @@
 }
 
 /// What a request takes of the engines on its path.
-pub fn shares_of(path: &LayerPath, demand: Demand) -> Vec<RequestPart> {
+pub fn shares_of(path: &LayerPath, demand: RequestSize) -> Vec<RequestPart> {
     let share = |part: &PathPart| RequestPart {
         endpoint: part.endpoint.clone(),
         kv: demand.kv_tokens() * part.layers.len() as f64,
--- a/crates/sillbank_gateway/src/ladder_metrics.rs
+++ b/crates/sillbank_gateway/src/ladder_metrics.rs
@@ -6,8 +6,8 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
-use sillbank_admission::ladder::Urgency;
-use sillbank_demand::counted_rank;
+use sillbank_admission::shedding::Priority;
+use sillbank_demand::clamp_rank;
 
 /// Label of a request's way up the ladder.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -47,13 +47,13 @@
     }
 
     /// Counts what became of a request.
-    pub fn on_asked(&self, service: &str, urgency: Urgency, answer: Result<(), NotAdmitted>) {
+    pub fn on_asked(&self, service: &str, urgency: Priority, answer: Result<(), NotAdmitted>) {
         let end = match answer {
             Ok(()) => "let_in",
             Err(NotAdmitted { is_late: false, .. }) => "refused_rank",
             Err(NotAdmitted { is_late: true, .. }) => "refused_late",
         };
-        let rank = counted_rank(urgency.organisation);
+        let rank = clamp_rank(urgency.organisation);
         self.asked.get_or_create(&AskedLabel { service: service.to_owned(), rank, end }).inc();
     }
 
--- a/crates/sillbank_gateway/src/limit_parts.rs
+++ b/crates/sillbank_gateway/src/limit_parts.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::wire::Wire;
 use sillbank_core::prelude::*;
-use sillbank_pushback::PART_TERM;
+use sillbank_pushback::RATE_LEASE_TERM;
 use sillbank_pushback::prelude::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,9 +17,9 @@
 /// Rate limits that this VM divides while it leads.
 #[derive(Debug, Default)]
 pub struct LimitParts {
-    divider: RefCell<Divider>,
+    divider: RefCell<LimitAllocator>,
     /// This hall's parts of the limits of endpoints in other halls.
-    of_hall: RefCell<BTreeMap<EndpointId, Part>>,
+    of_hall: RefCell<BTreeMap<EndpointId, RateLease>>,
 }
 
 /// Who hands out parts in reply to a feed request.
@@ -36,11 +36,11 @@
     pub fn update_divider(&self, now: Instant) {
         let mut divider = self.limit_parts.divider.borrow_mut();
         if self.hall.acting_fence.get().is_none() {
-            divider.end();
+            divider.stop();
             self.limit_parts.of_hall.borrow_mut().clear();
             return;
         }
-        divider.begin(now);
+        divider.start(now);
         let pushback = self.pushback.borrow();
         divider.retain(|endpoint| pushback.limit_per_s(endpoint).is_some(), now);
         let mut of_hall = self.limit_parts.of_hall.borrow_mut();
@@ -52,46 +52,46 @@
     }
 
     /// What this VM may divide of an endpoint's limit while it leads.
-    fn total(&self, endpoint: &str, now: Instant) -> Option<Part> {
+    fn total(&self, endpoint: &str, now: Instant) -> Option<RateLease> {
         let limit_per_s = self.pushback.borrow().limit_per_s(endpoint)?;
         if self.hall_of(endpoint)? == self.settings.borrow().hall {
-            return Some(Part { per_s: limit_per_s, until: now + PART_TERM });
+            return Some(RateLease { per_s: limit_per_s, until: now + RATE_LEASE_TERM });
         }
         let of_hall = self.limit_parts.of_hall.borrow().get(endpoint).copied();
         of_hall.filter(|part| now < part.until)
     }
 
     /// Who requests a part; `None` if another leader divides that limit.
-    fn requester(&self, request: &FeedRequest, endpoint: &str) -> Option<Asker> {
+    fn requester(&self, request: &FeedRequest, endpoint: &str) -> Option<Requester> {
         let own = self.settings.borrow().hall.clone();
         if request.hall == own {
-            return Some(Asker::Vm(request.vm.clone()));
+            return Some(Requester::Vm(request.vm.clone()));
         }
-        (self.hall_of(endpoint)? == own).then(|| Asker::Hall(request.hall.clone()))
+        (self.hall_of(endpoint)? == own).then(|| Requester::Hall(request.hall.clone()))
     }
 
     /// Whether a feed request wants a part that is available and has not been handed out yet.
     pub fn owes_part(&self, request: &FeedRequest, now: Instant) -> bool {
         let divider = self.limit_parts.divider.borrow();
-        divider.divides(now)
+        divider.is_active(now)
             && request.wants.iter().any(|want| {
                 let requester = self.requester(request, &want.endpoint);
-                let is_given = |requester| divider.has_given(&want.endpoint, &requester, now);
+                let is_given = |requester| divider.has_allocated(&want.endpoint, &requester, now);
                 self.total(&want.endpoint, now).is_some()
                     && requester.is_some_and(|requester| !is_given(requester))
             })
     }
 
     /// Records the rates that a feed request wants, and returns the parts that it gets.
-    pub fn give_parts(&self, request: &FeedRequest, now: Instant) -> Vec<PartNews> {
+    pub fn give_parts(&self, request: &FeedRequest, now: Instant) -> Vec<RateLeaseGrant> {
         if self.hall.acting_fence.get().is_none() {
             return Vec::new();
         }
-        let give = |want: &Want| {
+        let give = |want: &RateDemand| {
             let requester = self.requester(request, &want.endpoint)?;
             let part = self.divide(&want.endpoint, &requester, want.per_s, now)?;
             let valid_ms = part.until.saturating_duration_since(now).as_millis() as u64;
-            Some(PartNews { endpoint: want.endpoint.clone(), per_s: part.per_s, valid_ms })
+            Some(RateLeaseGrant { endpoint: want.endpoint.clone(), per_s: part.per_s, valid_ms })
         };
         request.wants.iter().filter_map(give).collect()
     }
@@ -99,16 +99,16 @@
     fn divide(
         &self,
         endpoint: &str,
-        requester: &Asker,
+        requester: &Requester,
         wanted_per_s: f64,
         now: Instant,
-    ) -> Option<Part> {
+    ) -> Option<RateLease> {
         let total = self.total(endpoint, now);
         let mut divider = self.limit_parts.divider.borrow_mut();
         match total {
-            Some(total) => divider.divide(endpoint, requester, wanted_per_s, total, now),
+            Some(total) => divider.allocate(endpoint, requester, wanted_per_s, total, now),
             None => {
-                divider.note_want(endpoint, requester, wanted_per_s, now);
+                divider.record_demand(endpoint, requester, wanted_per_s, now);
                 None
             }
         }
@@ -119,39 +119,41 @@
         if self.hall.acting_fence.get().is_none() {
             return;
         }
-        let requester = Asker::Vm(self.settings.borrow().vm.clone());
-        let wants = self.pushback.borrow().wants(now);
+        let requester = Requester::Vm(self.settings.borrow().vm.clone());
+        let wants = self.pushback.borrow().rate_demands(now);
         for want in wants {
             if let Some(part) = self.divide(&want.endpoint, &requester, want.per_s, now) {
-                self.pushback.borrow_mut().take_part(&want.endpoint, part);
+                self.pushback.borrow_mut().set_lease(&want.endpoint, part);
             }
         }
     }
 
     /// The rates that this VM, or as a leader its hall, would send.
-    pub(crate) fn wants_of(&self, from: &PartsFrom, now: Instant) -> Vec<Want> {
+    pub(crate) fn wants_of(&self, from: &PartsFrom, now: Instant) -> Vec<RateDemand> {
         let pushback = self.pushback.borrow();
         match from {
-            _ if pushback.limited() == 0 => Vec::new(),
-            PartsFrom::OwnLeader => pushback.wants(now),
+            _ if pushback.limited_count() == 0 => Vec::new(),
+            PartsFrom::OwnLeader => pushback.rate_demands(now),
             PartsFrom::Hall(hall) => {
                 let divider = self.limit_parts.divider.borrow();
                 let limited = pushback.limited_endpoints();
                 let limited = limited.filter(|id| self.hall_of(id).as_ref() == Some(hall));
-                let wants = limited
-                    .map(|id| Want { endpoint: id.clone(), per_s: divider.wanted_per_s(id, now) });
+                let wants = limited.map(|id| RateDemand {
+                    endpoint: id.clone(),
+                    per_s: divider.demand_per_s(id, now),
+                });
                 wants.filter(|want| want.per_s > 0.0).collect()
             }
         }
     }
 
     /// Applies the parts in a reply of a leader that was created at `given_at` or later.
-    pub fn apply_parts(&self, parts: &[PartNews], from: &PartsFrom, given_at: Instant) {
+    pub fn apply_parts(&self, parts: &[RateLeaseGrant], from: &PartsFrom, given_at: Instant) {
         if parts.is_empty() || self.platform.was_suspended_since(given_at) {
             return;
         }
         for update in parts {
-            let valid = Duration::from_millis(update.valid_ms).min(PART_TERM);
+            let valid = Duration::from_millis(update.valid_ms).min(RATE_LEASE_TERM);
             if !(update.per_s.is_finite() && update.per_s >= 0.0) {
                 let (endpoint, per_s) = (&update.endpoint, update.per_s);
                 tracing::warn!(
@@ -162,10 +164,10 @@
                 continue;
             }
             let Some(until) = given_at.checked_add(valid) else { continue };
-            let part = Part { per_s: update.per_s, until };
+            let part = RateLease { per_s: update.per_s, until };
             match from {
                 PartsFrom::OwnLeader => {
-                    self.pushback.borrow_mut().take_part(&update.endpoint, part);
+                    self.pushback.borrow_mut().set_lease(&update.endpoint, part);
                 }
                 PartsFrom::Hall(_) => {
                     self.limit_parts.of_hall.borrow_mut().insert(update.endpoint.clone(), part);
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -8,10 +8,10 @@
 use crate::hall_reports::ReportedEngine;
 use crate::paths::RoutingContext;
 use crate::restarts::may_be_current;
-use sillbank_admission::evidence::RefusalShare;
-use sillbank_admission::ladder::{Ladder, Rung, Urgency};
-use sillbank_admission::level::Level;
-use sillbank_admission::patience::UsualTime;
+use sillbank_admission::elapsed::ElapsedEstimator;
+use sillbank_admission::refusal_ratio::RefusalRatio;
+use sillbank_admission::share_controller::ShareController;
+use sillbank_admission::shedding::{Priority, PriorityClass, PriorityShedder};
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -42,7 +42,7 @@
     /// Route.
     pub route: &'a Route,
     /// Priority of the request.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// Time left until the caller's deadline, if known.
     pub left: Option<Duration>,
     /// Uniform random number from 0 to 1. The request is admitted if it is below the admitted share
@@ -72,20 +72,20 @@
 #[derive(Debug, Default)]
 pub struct FleetLoad {
     services: RefCell<HashMap<ServiceId, ServiceLoad>>,
-    usual_times: RefCell<HashMap<RouteName, UsualTime>>,
+    usual_times: RefCell<HashMap<RouteName, ElapsedEstimator>>,
 }
 
 #[derive(Debug, Default)]
 struct ServiceLoad {
-    ladder: Ladder,
-    level: Level,
-    refusals: RefusalShare,
+    shedder: PriorityShedder,
+    controller: ShareController,
+    refusals: RefusalRatio,
     /// Last aggregation: its time and the used share of the engines.
     last_sample: Option<(Instant, f64)>,
     /// When a request was last shed.
     last_shed_at: Option<Instant>,
     /// When the log last reported the shed classes, and the first of them.
-    logged: Option<(Instant, Option<Rung>)>,
+    logged: Option<(Instant, Option<PriorityClass>)>,
 }
 
 impl FleetLoad {
@@ -102,13 +102,13 @@
         let load = services.entry(request.service.name.clone()).or_default();
         let fullness = load.fullness(context, request);
         let is_late = self.is_late(request, load.is_calm(context.now));
-        let rung = Rung { is_late, urgency: request.urgency };
-        load.ladder.on_asked(context.now, rung);
-        let share = load.ladder.share(rung, load.level.share());
+        let class = PriorityClass { is_late, priority: request.priority };
+        load.shedder.record_request(context.now, class);
+        let share = load.shedder.admitted_share(class, load.controller.share());
         load.log(context.now, &request.service.name, fullness);
         match share >= 1.0 || request.draw < share {
             true => Ok(()),
-            false => Err(NotAdmitted { fullness, is_late: rung.is_late }),
+            false => Err(NotAdmitted { fullness, is_late: class.is_late }),
         }
     }
 
@@ -117,7 +117,7 @@
         let services = self.services.borrow();
         let load = services.get(service)?;
         let (_, fullness) = load.last_sample?;
-        Some(LoadEstimate { fullness, share: load.level.share() })
+        Some(LoadEstimate { fullness, share: load.controller.share() })
     }
 
     /// Records that an engine of a service accepted a request, or refused it for lack of room.
@@ -127,8 +127,8 @@
             return;
         };
         match was_admitted {
-            true => load.refusals.on_let_in(now),
-            false => load.refusals.on_refused(now),
+            true => load.refusals.record_admitted(now),
+            false => load.refusals.record_refused(now),
         }
     }
 
@@ -143,9 +143,9 @@
         }
         let usual = usual_times.entry(request.route.name.clone()).or_default();
         if is_calm {
-            usual.on_first_try(left);
+            usual.record_first_try(left);
         }
-        usual.waited(left) > request.route.objective
+        usual.elapsed(left) > request.route.objective
     }
 }
 
@@ -160,8 +160,8 @@
         }
         let reported = fleet_capacity(context, request.service, request.figures).fullness();
         let fullness = reported.unwrap_or_else(|| self.refusals.fullness(now));
-        self.level.on_fullness(now, fullness);
-        if self.level.share() < 1.0 {
+        self.controller.update(now, fullness);
+        if self.controller.share() < 1.0 {
             self.last_shed_at = Some(now);
         }
         self.last_sample = Some((now, fullness));
@@ -175,8 +175,8 @@
 
     /// Logs a change of the first shed class, at a limited rate.
     fn log(&mut self, now: Instant, service: &str, fullness: f64) {
-        let share = self.level.share();
-        let held_back = self.ladder.first_held_back(share);
+        let share = self.controller.share();
+        let held_back = self.shedder.first_shed_class(share);
         let (at, before) = self.logged.unwrap_or((now, None));
         self.logged = Some((at, before));
         if held_back == before || now.saturating_duration_since(at) < LOG_INTERVAL {
@@ -199,18 +199,18 @@
     context: RoutingContext<'_>,
     service: &Service,
     figures: &EngineFigures,
-) -> HallRoom {
-    let mut by_hall: BTreeMap<HallId, Vec<EngineRoom>> = BTreeMap::new();
+) -> HallCapacity {
+    let mut by_hall: BTreeMap<HallId, Vec<EngineCapacity>> = BTreeMap::new();
     context.platform.endpoints(|directory| {
         for record in directory.usable_of(&service.name) {
-            let newest_life = directory.newest_life(&record.id);
-            if let Some(room) = engine_capacity(context, record, newest_life, figures) {
+            let newest_incarnation = directory.newest_incarnation(&record.id);
+            if let Some(room) = engine_capacity(context, record, newest_incarnation, figures) {
                 by_hall.entry(record.hall.clone()).or_default().push(room);
             }
         }
     });
-    let rooms = by_hall.values().map(|engines| HallRoom::of(engines, figures.layers));
-    rooms.fold(HallRoom::default(), HallRoom::plus)
+    let rooms = by_hall.values().map(|engines| HallCapacity::of(engines, figures.layers));
+    rooms.fold(HallCapacity::default(), HallCapacity::plus)
 }
 
 /// Capacity of an engine; `None` if its leader does not report it or reports an earlier
@@ -218,15 +218,15 @@
 fn engine_capacity(
     context: RoutingContext<'_>,
     record: &EndpointRecord,
-    newest_life: Option<BornMs>,
+    newest_incarnation: Option<BornMs>,
     figures: &EngineFigures,
-) -> Option<EngineRoom> {
+) -> Option<EngineCapacity> {
     if !context.endpoint_tracker.may_join_path(&record.id) {
         return None;
     }
     let kind = figures.accelerator(record.accelerator.as_deref()?)?;
     let read = |engine: ReportedEngine<'_>| {
-        let is_current = may_be_current(engine.state.born_ms, newest_life);
+        let is_current = may_be_current(engine.state.born_ms, newest_incarnation);
         is_current.then(|| capacity_of(engine.state, figures, kind)).flatten()
     };
     context.hall.reports.engine(&record.hall, &record.id, context.now, read)?
@@ -236,16 +236,16 @@
     engine: &EngineState,
     figures: &EngineFigures,
     kind: &AcceleratorFigures,
-) -> Option<EngineRoom> {
+) -> Option<EngineCapacity> {
     // A report of layers that the model does not have is not trusted.
     let is_of_model = |held: &LayerRange| !held.is_empty() && held.end <= figures.layers;
     let layers = engine.layers.filter(|held| !engine.is_lost && is_of_model(held))?;
-    let usual_kv = Demand::usual(figures).kv_tokens() * layers.len() as f64;
+    let usual_kv = RequestSize::usual(figures).kv_tokens() * layers.len() as f64;
     let capacity = kv_capacity(figures, kind, layers.len())? / usual_kv.max(1.0);
     let requests = f64::from(engine.running) + f64::from(engine.waiting);
     let kv_share = f64::from(engine.kv_permille) / 1000.0;
     // Memory counts as used now: what running requests will still write is freed meanwhile by those
     // that end.
     let slots_share = requests / f64::from(figures.slots.max(1));
-    Some(EngineRoom { layers, capacity, taken_share: kv_share.max(slots_share) })
+    Some(EngineCapacity { layers, capacity, used_share: kv_share.max(slots_share) })
 }
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -73,7 +73,7 @@
     /// Endpoints to exclude.
     pub avoid: &'a [EndpointId],
     /// Resources that the request takes at each engine.
-    pub demand: Demand,
+    pub demand: RequestSize,
 }
 
 /// The cheapest path on which every engine has room for the request. Ejected engines are not used.
@@ -103,10 +103,10 @@
         let candidates = candidates(context, request, halls).into_iter().filter(&fits);
         candidates.map(|candidate| candidate.holder)
     };
-    let find = |holders: &[Holder]| {
+    let find = |holders: &[LayerHolder]| {
         find_path(holders, request.figures.layers, request.local_hall, CROSSING)
     };
-    let mut holders: Vec<Holder> = holders_in(HallScope::Local).collect();
+    let mut holders: Vec<LayerHolder> = holders_in(HallScope::Local).collect();
     if let Some(found) = find(&holders)
         && found.cost_ms <= min_remote_cost_ms(request.figures)
     {
@@ -152,11 +152,11 @@
     path: &LayerPath,
     lost: &str,
 ) -> Option<LayerPath> {
-    let holders: Vec<Holder> = candidates(context, request, HallScope::All)
+    let holders: Vec<LayerHolder> = candidates(context, request, HallScope::All)
         .into_iter()
         .map(|found| found.holder)
         .collect();
-    mend_path(path, lost, &holders, request.figures.layers, request.local_hall, REPAIR_CROSSING)
+    repair_path(path, lost, &holders, request.figures.layers, request.local_hall, REPAIR_CROSSING)
 }
 
 /// Everything that the choice of a path depends on.
@@ -169,7 +169,7 @@
     /// Endpoints as observed by this VM.
     pub endpoint_tracker: &'a EndpointTracker,
     /// Rate limits and pauses that endpoints asked for.
-    pub pushback: &'a RefCell<PushbackBook>,
+    pub pushback: &'a RefCell<PushbackTracker>,
     /// Which mechanisms are enabled.
     pub mechanisms: Mechanisms,
     /// Source of the random part of costs.
@@ -229,15 +229,15 @@
 /// An engine that may be part of a path.
 struct Candidate {
     /// Its layers and costs.
-    holder: Holder,
+    holder: LayerHolder,
     /// Its KV cache; `None` if the service's figures do not give its size.
-    room: Option<KvRoom>,
+    room: Option<KvUsage>,
     /// Used share of its slots if paths can start here, else 0.
     slots_share: f64,
 }
 
 impl Candidate {
-    fn fits(&self, demand: Demand) -> bool {
+    fn fits(&self, demand: RequestSize) -> bool {
         let more = demand.kv_tokens() * self.holder.layers.len() as f64;
         let has_kv = self.room.is_none_or(|room| room.fits(more, NEW_REQUEST_FILL_LIMIT));
         has_kv && self.slots_share < NEW_REQUEST_FILL_LIMIT
@@ -259,7 +259,7 @@
                     && context.endpoint_tracker.may_join_path(&record.id)
             })
             .filter_map(|record| {
-                candidate(context, request, record, directory.newest_life(&record.id))
+                candidate(context, request, record, directory.newest_incarnation(&record.id))
             })
             .collect()
     })
@@ -271,12 +271,12 @@
     context: RoutingContext<'_>,
     request: PathRequest<'_>,
     record: &EndpointRecord,
-    newest_life: Option<BornMs>,
+    newest_incarnation: Option<BornMs>,
 ) -> Option<Candidate> {
     let RoutingContext { hall, endpoint_tracker, mechanisms, chance, now, .. } = context;
     let figures = request.figures;
     let read = |reported: ReportedEngine<'_>| {
-        may_be_current(reported.state.born_ms, newest_life)
+        may_be_current(reported.state.born_ms, newest_incarnation)
             .then(|| ReportedLoad::new(reported, figures))
     };
     let reported = hall.reports.engine(&record.hall, &record.id, now, read).flatten();
@@ -293,23 +293,27 @@
     let jitter = 1.0 + COST_JITTER * chance.fraction();
     let unreported = unreported_load(context, request, record, &reported);
     let capacity = kind.and_then(|kind| kv_capacity(figures, kind, layers.len()));
-    let room = capacity.map(|capacity| KvRoom::new(capacity, reported.kv_share, unreported.kv));
+    let room = capacity.map(|capacity| KvUsage::new(capacity, reported.kv_share, unreported.kv));
     let slots_share = match layers.first {
         0 => (reported.requests + unreported.requests) / f64::from(record.slots.max(1)),
         _ => 0.0,
     };
     let time = kind.filter(|_| mechanisms.time_share).map_or(0.0, |kind| {
-        time_share(figures, reported.requests, work_ms(figures, kind, layers.len(), reported.pace))
+        time_share(
+            figures,
+            reported.requests,
+            request_work_ms(figures, kind, layers.len(), reported.pace),
+        )
     });
     // The scarcest resource determines the cost.
-    let kv_share = room.map_or(reported.kv_share, |room| room.taken_share());
+    let kv_share = room.map_or(reported.kv_share, |room| room.used_share());
     let used_share = kv_share.max(slots_share).max(time);
     let utilisation_ms = if mechanisms.crowd_cost { utilisation_cost_ms(used_share) } else { 0.0 };
     let health_ms = match mechanisms.health_cost {
         true => endpoint_tracker.use_cost_ms(&record.id, now),
         false => 0.0,
     };
-    let holder = Holder {
+    let holder = LayerHolder {
         endpoint: record.id.clone(),
         address: record.address,
         hall: record.hall.clone(),
@@ -326,10 +330,10 @@
     request: PathRequest<'_>,
     record: &EndpointRecord,
     reported: &ReportedLoad,
-) -> Unseen {
+) -> UnreportedLoad {
     let reported_at = reported.reported_at.unwrap_or(context.now);
     if !context.mechanisms.unseen_sends {
-        return Unseen::default();
+        return UnreportedLoad::default();
     }
     let own = context.endpoint_tracker.sent_since(&record.id, reported_at);
     // VMs get about the same share of callers and choose by the same reports, so each is assumed to
@@ -339,7 +343,7 @@
         true => reported.vms,
         false => context.hall.reports.max_fleet_vms().saturating_sub(reported.vms),
     };
-    own.times(f64::from(senders.max(1)))
+    own.scaled(f64::from(senders.max(1)))
 }
 
 /// State of an engine as reported by its hall's leader.
--- a/crates/sillbank_gateway/src/placement/mod.rs
+++ b/crates/sillbank_gateway/src/placement/mod.rs
@@ -80,7 +80,7 @@
         let settings = self.gateway.settings();
         let now = Instant::now();
         let engines = self.tracked.iter().map(|(id, tracked)| {
-            EngineState::new(id.clone(), tracked.newest_life(), tracked.report.as_ref())
+            EngineState::new(id.clone(), tracked.newest_incarnation(), tracked.report.as_ref())
         });
         let vms = self.gateway.hall.live_vms(now);
         self.gateway.hall.record_hall_vms(vms);
@@ -229,9 +229,9 @@
     async fn poll_all(&mut self, engines: &BTreeMap<EndpointId, EndpointRecord>, layers: u16) {
         self.tracked.retain(|id, _| engines.contains_key(id));
         for id in engines.keys() {
-            let newest_life =
-                self.gateway.platform.endpoints(|directory| directory.newest_life(id));
-            self.tracked.entry(id.clone()).or_default().on_life(newest_life);
+            let newest_incarnation =
+                self.gateway.platform.endpoints(|directory| directory.newest_incarnation(id));
+            self.tracked.entry(id.clone()).or_default().on_incarnation(newest_incarnation);
         }
         let polls: Vec<(EndpointId, smol::Task<ReportOutcome>)> = engines
             .values()
--- a/crates/sillbank_gateway/src/placement/reports.rs
+++ b/crates/sillbank_gateway/src/placement/reports.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct TrackedEngine {
     /// Newest incarnation known from its entry or its reports.
-    newest_life: Option<BornMs>,
+    newest_incarnation: Option<BornMs>,
     /// Its latest report; `None` while it is lost.
     pub report: Option<EngineReport>,
     /// Consecutive missing reports.
@@ -64,17 +64,17 @@
     }
 
     /// Newest known incarnation.
-    pub fn newest_life(&self) -> Option<BornMs> {
-        self.newest_life
+    pub fn newest_incarnation(&self) -> Option<BornMs> {
+        self.newest_incarnation
     }
 
     /// Records an incarnation of the engine. A newer one discards everything known of earlier ones,
     /// including orders.
-    pub fn on_life(&mut self, born_ms: Option<BornMs>) {
-        if compare_lives(born_ms, self.newest_life) == LifeOrder::Newer {
+    pub fn on_incarnation(&mut self, born_ms: Option<BornMs>) {
+        if compare_incarnations(born_ms, self.newest_incarnation) == IncarnationOrder::Newer {
             *self = Self::default();
         }
-        self.newest_life = born_ms.max(self.newest_life);
+        self.newest_incarnation = born_ms.max(self.newest_incarnation);
     }
 
     /// Applies the outcome of polling. `is_suspect` says whether this VM's own exchanges with the
@@ -82,9 +82,10 @@
     pub fn on_polled(&mut self, outcome: ReportOutcome, is_suspect: bool) {
         match outcome {
             ReportOutcome::Reported(report)
-                if compare_lives(report.born_ms, self.newest_life) == LifeOrder::Older => {}
+                if compare_incarnations(report.born_ms, self.newest_incarnation)
+                    == IncarnationOrder::Older => {}
             ReportOutcome::Reported(report) => {
-                self.on_life(report.born_ms);
+                self.on_incarnation(report.born_ms);
                 self.report = Some(report);
                 self.fault = None;
                 self.missed = 0;
--- a/crates/sillbank_gateway/src/placement/targets.rs
+++ b/crates/sillbank_gateway/src/placement/targets.rs
@@ -12,7 +12,7 @@
 /// Planner weights, in units of one loaded layer. Releasing a layer ends the paths of passing
 /// requests, so it costs more than a load. Balance counts less than one load, so that no layer
 /// moves for it alone.
-const WEIGHTS: PlanWeights = PlanWeights { load: 1.0, give_up: 2.0, balance: 0.1 };
+const WEIGHTS: PlanWeights = PlanWeights { load: 1.0, unload: 2.0, balance: 0.1 };
 /// Costs of little free KV cache, as pairs of a number of requests of the usual size and the cost,
 /// in units of one loaded layer, of having room for fewer than that. A hall of the known
 /// deployments runs about 60 requests at once, and preempts when its smallest engine has no room
@@ -90,8 +90,8 @@
     in_pairs: bool,
 ) -> Option<Vec<Target>> {
     let assigned = match has_mixed_speeds(engines, figures) {
-        true => assign_chains_by_speed(engines, figures, chains),
-        false => assign_chains(engines, figures, chains),
+        true => group_into_chains_by_speed(engines, figures, chains),
+        false => group_into_chains(engines, figures, chains),
     };
     if assigned.len() > 1 || !in_pairs {
         return chain_targets(&assigned, figures, GiveUp::AtOnce);
@@ -120,7 +120,7 @@
     let members: Vec<RepairMember> =
         engines.iter().filter_map(|engine| repair_member(engine, figures)).collect();
     if let Some(moves) =
-        repair(&members, figures.layers, load.max(MIN_HALL_REQUESTS), MAX_SPARE_MOVES)
+        repair_placement(&members, figures.layers, load.max(MIN_HALL_REQUESTS), MAX_SPARE_MOVES)
     {
         let targets = moves.into_iter().map(|moved| Target {
             endpoint: moved.endpoint,
@@ -133,7 +133,7 @@
         // Moves under way may already repair it.
         return Some(Vec::new());
     }
-    let assigned = assign_chains(engines, figures, chains);
+    let assigned = group_into_chains(engines, figures, chains);
     chain_targets(&assigned, figures, GiveUp::WhenUnused)
 }
 
@@ -157,13 +157,13 @@
 }
 
 fn plan_chain(chain: &[&EngineView], figures: &EngineFigures) -> Option<Vec<Assignment>> {
-    let runners: Vec<PlanRunner> =
+    let runners: Vec<PlanMember> =
         chain.iter().filter_map(|engine| plan_runner(engine, figures)).collect();
-    plan(&runners, figures.layers, WEIGHTS)
+    plan_placement(&runners, figures.layers, WEIGHTS)
 }
 
 /// Distributes engines over as many chains as hold the model with room for KV cache.
-fn assign_chains<'a>(
+fn group_into_chains<'a>(
     engines: &'a [EngineView],
     figures: &EngineFigures,
     chains: &mut Chains,
@@ -177,7 +177,7 @@
             held: engine.serves,
         })
         .collect();
-    *chains = deal_chains(&members, count, chains);
+    *chains = assign_chains(&members, count, chains);
     let mut assigned: Vec<Vec<&EngineView>> = vec![Vec::new(); count];
     for engine in engines {
         assigned[chains[&engine.id]].push(engine);
@@ -196,7 +196,7 @@
 }
 
 /// Distributes engines without layers over chains of similar speed.
-fn assign_chains_by_speed<'a>(
+fn group_into_chains_by_speed<'a>(
     engines: &'a [EngineView],
     figures: &EngineFigures,
     chains: &mut Chains,
@@ -206,11 +206,11 @@
         .iter()
         .filter_map(|engine| {
             let kind = figures.accelerator(&engine.kind)?;
-            let fits = layers_that_fit(&memory_shape(figures, kind), tokens);
-            Some(PacedMember { endpoint: engine.id.clone(), pace: kind.step_factor, fits })
+            let max_layers = layers_that_fit(&memory_figures(figures, kind), tokens);
+            Some(PacedMember { endpoint: engine.id.clone(), pace: kind.step_factor, max_layers })
         })
         .collect();
-    *chains = deal_by_pace(&members, figures.layers);
+    *chains = assign_chains_by_pace(&members, figures.layers);
     let count = chains.values().max().map_or(1, |most| most + 1);
     let mut assigned: Vec<Vec<&EngineView>> = vec![Vec::new(); count];
     for engine in engines {
@@ -227,7 +227,7 @@
         .filter_map(|engine| figures.accelerator(&engine.kind))
         .map(|kind| {
             let tokens = usual_tokens(figures) * CHAIN_ENGINE_REQUESTS;
-            u32::from(layers_that_fit(&memory_shape(figures, kind), tokens))
+            u32::from(layers_that_fit(&memory_figures(figures, kind), tokens))
         })
         .sum();
     let possible = f64::from(fits) / f64::from(figures.layers.max(1));
@@ -240,58 +240,59 @@
 
 fn pair_member(engine: &EngineView, figures: &EngineFigures) -> Option<PairMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_shape(figures, kind);
+    let shape = memory_figures(figures, kind);
     let usual = usual_tokens(figures);
     Some(PairMember {
         endpoint: engine.id.clone(),
         kind: kind.kind.clone(),
-        alone: layers_that_fit(&shape, usual * SOLE_HOLDER_REQUESTS),
-        paired: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
+        solo_layers: layers_that_fit(&shape, usual * SOLE_HOLDER_REQUESTS),
+        paired_layers: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
     })
 }
 
 fn repair_member(engine: &EngineView, figures: &EngineFigures) -> Option<RepairMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_shape(figures, kind);
+    let shape = memory_figures(figures, kind);
     let usual = usual_tokens(figures);
     let is_changing = engine.ordered.is_some() && engine.ordered != engine.serves;
     Some(RepairMember {
         endpoint: engine.id.clone(),
-        comfortable: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
-        most: layers_that_fit(&shape, usual * MIN_ENGINE_REQUESTS),
+        preferred_layers: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
+        max_layers: layers_that_fit(&shape, usual * MIN_ENGINE_REQUESTS),
         pace: kind.step_factor,
-        rooms: rooms(&shape, usual),
+        request_capacities: rooms(&shape, usual),
         held: engine.ordered.or(engine.serves),
         is_busy: engine.order_under_way || is_changing,
     })
 }
 
 /// Requests of the usual size that fit beside 0, 1, 2 ... layers.
-fn rooms(shape: &MemoryShape, usual_tokens: f64) -> Vec<f64> {
+fn rooms(shape: &MemoryFigures, usual_tokens: f64) -> Vec<f64> {
     let most = layers_that_fit(shape, 0.0);
     (0..=most).map(|held| tokens_that_fit(shape, held) / usual_tokens.max(1.0)).collect()
 }
 
-fn plan_runner(engine: &EngineView, figures: &EngineFigures) -> Option<PlanRunner> {
+fn plan_runner(engine: &EngineView, figures: &EngineFigures) -> Option<PlanMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_shape(figures, kind);
+    let shape = memory_figures(figures, kind);
     let most_layers = layers_that_fit(&shape, usual_tokens(figures));
-    let size_costs = (0..=most_layers).map(|held| room_cost(&shape, held, figures)).collect();
-    Some(PlanRunner {
+    let layer_count_costs =
+        (0..=most_layers).map(|held| room_cost(&shape, held, figures)).collect();
+    Some(PlanMember {
         endpoint: engine.id.clone(),
-        size_costs,
+        layer_count_costs,
         weight: kind.memory_mb,
         held: engine.serves,
     })
 }
 
 /// Cost of the KV cache that is left beside `held` layers.
-fn room_cost(shape: &MemoryShape, held: u16, figures: &EngineFigures) -> f64 {
+fn room_cost(shape: &MemoryFigures, held: u16, figures: &EngineFigures) -> f64 {
     let requests = tokens_that_fit(shape, held) / usual_tokens(figures).max(1.0);
     let costs = KV_ROOM_COSTS.iter().filter(|(least, _)| held > 0 && requests < *least);
     costs.map(|(_, cost)| cost).sum()
 }
 
 fn usual_tokens(figures: &EngineFigures) -> f64 {
-    Demand::usual(figures).kv_tokens()
+    RequestSize::usual(figures).kv_tokens()
 }
--- a/crates/sillbank_gateway/src/platform_view.rs
+++ b/crates/sillbank_gateway/src/platform_view.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct PlatformView {
     catalog: RefCell<Option<Rc<Catalog>>>,
-    catalog_lease: RefCell<KnowledgeLease>,
+    catalog_lease: RefCell<CatalogLease>,
     directory: RefCell<Directory>,
     catalog_at: Cell<Revision>,
     /// Newest known era of the store.
@@ -65,7 +65,7 @@
     pub fn new(key_revocation: Duration) -> Self {
         Self {
             catalog: RefCell::default(),
-            catalog_lease: RefCell::new(KnowledgeLease::new(catalog_lease_term(key_revocation))),
+            catalog_lease: RefCell::new(CatalogLease::new(catalog_lease_term(key_revocation))),
             directory: RefCell::default(),
             catalog_at: Cell::new(Revision::NONE),
             era: Cell::new(None),
@@ -122,7 +122,7 @@
         }
         let was_fresh = self.is_fresh(Instant::now());
         self.catalog_lease.borrow_mut().confirm(sent);
-        self.directory.borrow_mut().on_store_seen(sent);
+        self.directory.borrow_mut().on_store_reachable(sent);
         if !was_fresh {
             // VMs that follow this one wait for it too.
             self.notify_change();
@@ -137,7 +137,7 @@
         self.check_era(at);
         let is_unsettled = |restored: Instant| confirmed < restored + RESTORE_SETTLE_TIME;
         if self.restored_at.get().is_some_and(is_unsettled) {
-            self.directory.borrow_mut().on_store_seen(confirmed);
+            self.directory.borrow_mut().on_store_reachable(confirmed);
             self.catalog_at.set(self.catalog_at.get().max(at));
             return;
         }
@@ -364,7 +364,7 @@
     pub fn on_reported_incarnation(&self, id: &str, born_ms: BornMs) {
         let mut directory = self.directory.borrow_mut();
         let before = directory.newest_change();
-        directory.on_life(id, born_ms);
+        directory.on_incarnation(id, born_ms);
         let has_changed = directory.newest_change() != before;
         drop(directory);
         if has_changed {
@@ -373,8 +373,8 @@
     }
 
     /// Endpoints found to have restarted since the last call.
-    pub fn take_renewed(&self) -> Vec<EndpointId> {
-        self.directory.borrow_mut().take_renewed()
+    pub fn take_restarted(&self) -> Vec<EndpointId> {
+        self.directory.borrow_mut().take_restarted()
     }
 
     /// Endpoints whose entries in a restored store were ignored since the last call.
@@ -388,8 +388,8 @@
     }
 
     /// Records that the store answers again.
-    pub fn on_store_back(&self, now: Instant) {
-        self.directory.borrow_mut().on_store_back(now);
+    pub fn on_store_recovered(&self, now: Instant) {
+        self.directory.borrow_mut().on_store_recovered(now);
         self.wake_store_waiters();
     }
 
@@ -401,20 +401,20 @@
     /// Records that a call to the store sent at `sent` failed. Returns whether this counts as a
     /// failure of the store; it does not if a call that was sent later was answered, to this VM or
     /// another one.
-    pub fn on_call_failed(&self, sent: Instant, now: Instant, trouble: StoreTrouble) -> bool {
+    pub fn on_call_failed(&self, sent: Instant, now: Instant, trouble: StoreFailure) -> bool {
         self.directory.borrow_mut().on_call_failed(sent, now, trouble)
     }
 
     /// When the next lapsed entry is evicted; `None` if there is none or the store is unreachable.
     pub fn next_eviction(&self) -> Option<Instant> {
-        self.directory.borrow().next_lapse_end()
+        self.directory.borrow().next_eviction()
     }
 
     /// Evicts lapsed entries whose grace period is over and returns their ids.
     pub fn on_time(&self, now: Instant) -> Vec<String> {
         let mut directory = self.directory.borrow_mut();
         let before = directory.newest_change();
-        let over = directory.on_time(now);
+        let over = directory.on_tick(now);
         let has_changed = directory.newest_change() != before;
         drop(directory);
         if has_changed {
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -32,7 +32,8 @@
         {
             return;
         }
-        let incarnation = self.platform.endpoints(|directory| directory.newest_life(endpoint));
+        let incarnation =
+            self.platform.endpoints(|directory| directory.newest_incarnation(endpoint));
         let (draw, now) = (self.chance.fraction(), Instant::now());
         let events =
             self.pushback.borrow_mut().on_answer(endpoint, incarnation, pushback, draw, now);
@@ -45,26 +46,26 @@
     }
 
     /// Applies limits reported by another VM, except those of earlier incarnations.
-    pub fn on_reported_limits(&self, limits: &[LimitNews], from: &'static str) {
+    pub fn on_reported_limits(&self, limits: &[LimitUpdate], from: &'static str) {
         if limits.is_empty() || !self.uses_pushback() {
             return;
         }
-        let is_current = |reported: &&LimitNews| {
+        let is_current = |reported: &&LimitUpdate| {
             self.platform.endpoints(|directory| {
-                let newest_life = directory.newest_life(&reported.endpoint);
+                let newest_incarnation = directory.newest_incarnation(&reported.endpoint);
                 directory.get(&reported.endpoint).is_some()
-                    && crate::restarts::may_be_current(reported.born_ms, newest_life)
+                    && crate::restarts::may_be_current(reported.born_ms, newest_incarnation)
             })
         };
-        let limits: Vec<LimitNews> = limits.iter().filter(is_current).cloned().collect();
+        let limits: Vec<LimitUpdate> = limits.iter().filter(is_current).cloned().collect();
         let (draw, now) = (|| self.chance.fraction(), Instant::now());
-        let events = self.pushback.borrow_mut().on_told(&limits, draw, now);
+        let events = self.pushback.borrow_mut().on_reported(&limits, draw, now);
         self.on_pushback_events(&events, from);
     }
 
     /// Counts a request sent to an endpoint against its limit.
     pub fn count_against_limit(&self, endpoint: &str) {
-        self.pushback.borrow_mut().on_sent(endpoint, Instant::now());
+        self.pushback.borrow_mut().record_send(endpoint, Instant::now());
     }
 
     /// Logs and counts the endpoints that were not used for a request because of push-back. Returns
@@ -79,7 +80,7 @@
             self.metrics.withheld.get_or_create(&kind).inc();
             self.decisions.withheld(job, withheld);
         }
-        all.iter().filter_map(|withheld| withheld.reason.ends_in()).min()
+        all.iter().filter_map(|withheld| withheld.reason.retry_after()).min()
     }
 
     /// Updates the gauges of push-back.
@@ -88,9 +89,9 @@
         let set = |kind: &'static str, endpoints: usize| {
             self.metrics.pushback.get_or_create(&KindLabel { kind }).set(endpoints as i64);
         };
-        set("limit", pushback.limited());
-        set("rest", pushback.resting());
-        set("leaving", pushback.leaving());
+        set("limit", pushback.limited_count());
+        set("rest", pushback.paused_count());
+        set("leaving", pushback.leaving_count());
     }
 
     fn on_pushback_events(&self, events: &[(EndpointId, PushbackEvent)], from: &'static str) {
@@ -105,7 +106,7 @@
                 PushbackEvent::Unlimited => {
                     tracing::info!(endpoint, from, "pushback: An endpoint removed its rate limit.");
                 }
-                PushbackEvent::Rests(rest) => {
+                PushbackEvent::Paused(rest) => {
                     let rest_ms = rest.as_millis() as u64;
                     tracing::info!(endpoint, rest_ms, "pushback: An endpoint asked for a pause.");
                 }
@@ -148,7 +149,7 @@
         if gateway.pushback.borrow().is_empty() {
             continue;
         }
-        let lapsed = gateway.pushback.borrow_mut().on_time(now);
+        let lapsed = gateway.pushback.borrow_mut().expire(now);
         gateway.on_pushback_events(&lapsed, "time");
         gateway.update_pushback_metrics();
         gateway.take_own_parts(now);
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -23,21 +23,21 @@
     /// Records that an endpoint crashed while it ran a request. The crash counts against a request
     /// that had just started there.
     pub fn on_ended_under(&self, job: &Job, send: &BrokenSend) {
-        let is_beginning = send.ran_for().is_none_or(|ran| ran < BEGINNING);
+        let is_beginning = send.ran_for().is_none_or(|ran| ran < SUSPICION_WINDOW);
         self.decisions.ended_under(job, send, is_beginning);
         if !is_beginning {
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
         let (fingerprint, incarnation) = (job.fingerprint(), self.incarnation_name(&send.endpoint));
-        let events = quarantine.on_end(fingerprint, &incarnation, send.sent_at, send.broke_at);
+        let events = quarantine.on_crash(fingerprint, &incarnation, send.sent_at, send.broke_at);
         drop(quarantine);
         self.on_quarantine_events(&events);
     }
 
     /// Name of an endpoint's incarnation, as far as its start is known.
     fn incarnation_name(&self, endpoint: &str) -> String {
-        match self.platform.endpoints(|directory| directory.newest_life(endpoint)) {
+        match self.platform.endpoints(|directory| directory.newest_incarnation(endpoint)) {
             Some(born_ms) => format!("{endpoint}@{born_ms}"),
             None => endpoint.to_owned(),
         }
@@ -50,7 +50,7 @@
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
-        let events = quarantine.on_ran_well(job.fingerprint(), Instant::now());
+        let events = quarantine.on_survived(job.fingerprint(), Instant::now());
         drop(quarantine);
         self.on_quarantine_events(&events);
     }
@@ -61,7 +61,7 @@
         if quarantine.is_empty() || !self.settings.borrow().mechanisms.quarantine {
             return None;
         }
-        quarantine.held_for(job.fingerprint(), Instant::now())
+        quarantine.quarantined_for(job.fingerprint(), Instant::now())
     }
 
     /// Time for which a request stays isolated: if it is the cause of crashes, it must not take the
@@ -71,14 +71,14 @@
         if quarantine.is_empty() || !self.settings.borrow().mechanisms.quarantine {
             return None;
         }
-        quarantine.kept_apart_for(job.fingerprint(), Instant::now())
+        quarantine.isolated_for(job.fingerprint(), Instant::now())
     }
 
     /// Refuses a quarantined request: it was not run, and its caller may retry after the
     /// quarantine.
     pub fn refuse_quarantined(&self, job: &Job) -> Option<Failure> {
         let left = self.quarantined_for(job)?;
-        let ends = self.quarantine.borrow().ends(job.fingerprint());
+        let ends = self.quarantine.borrow().crash_count(job.fingerprint());
         let fingerprint = describe_fingerprint(job.fingerprint());
         let reason = format!("{ends} endpoints ended under this request ({fingerprint})");
         self.metrics.quarantine_refusals.inc();
@@ -93,11 +93,11 @@
     }
 
     /// Applies crashes reported by another VM.
-    pub fn on_reported_suspects(&self, suspects: &[SuspectNews], teller: Teller) {
+    pub fn on_reported_suspects(&self, suspects: &[SuspectUpdate], teller: UpdateSource) {
         if suspects.is_empty() {
             return;
         }
-        let events = self.quarantine.borrow_mut().on_news(suspects, teller, Instant::now());
+        let events = self.quarantine.borrow_mut().on_updates(suspects, teller, Instant::now());
         self.on_quarantine_events(&events);
     }
 
@@ -105,13 +105,13 @@
     pub(crate) fn on_quarantine_events(&self, events: &[QuarantineEvent]) {
         for event in events {
             match event {
-                QuarantineEvent::Begun { fingerprint, endpoints, term } => tracing::warn!(
+                QuarantineEvent::Quarantined { fingerprint, endpoints, term } => tracing::warn!(
                     fingerprint = describe_fingerprint(*fingerprint),
                     endpoints = endpoints.join(","),
                     term_s = term.as_secs(),
                     "quarantine: A request is quarantined, as endpoints crashed while running it."
                 ),
-                QuarantineEvent::Ended { fingerprint } => tracing::info!(
+                QuarantineEvent::Released { fingerprint } => tracing::info!(
                     fingerprint = describe_fingerprint(*fingerprint),
                     "quarantine: The quarantine of a request has ended."
                 ),
@@ -136,7 +136,7 @@
         if gateway.quarantine.borrow().is_empty() {
             continue;
         }
-        let events = gateway.quarantine.borrow_mut().on_time(Instant::now());
+        let events = gateway.quarantine.borrow_mut().on_tick(Instant::now());
         gateway.on_quarantine_events(&events);
     }
 }
--- a/crates/sillbank_gateway/src/restarts.rs
+++ b/crates/sillbank_gateway/src/restarts.rs
@@ -34,16 +34,17 @@
     /// Discards what is kept of earlier incarnations of restarted endpoints.
     pub fn reset_restarted_endpoints(&self) {
         let now = Instant::now();
-        for id in self.platform.take_renewed() {
-            let newest_life = self.platform.endpoints(|directory| directory.newest_life(&id));
+        for id in self.platform.take_restarted() {
+            let newest_incarnation =
+                self.platform.endpoints(|directory| directory.newest_incarnation(&id));
             self.endpoint_tracker.on_restart(&id, now);
             self.channels.forget(&id);
             self.heard.on_new_life(&id);
-            self.pushback.borrow_mut().on_new_life(&id);
+            self.pushback.borrow_mut().on_restart(&id);
             self.call_tracker.retain(|known| known != id);
-            self.hall.reports.on_restart(&id, newest_life);
+            self.hall.reports.on_restart(&id, newest_incarnation);
             self.metrics.renewed_endpoints.inc();
-            tracing::info!(endpoint = id, born_ms = newest_life, "endpoint: Started again.");
+            tracing::info!(endpoint = id, born_ms = newest_incarnation, "endpoint: Started again.");
         }
     }
 
@@ -58,5 +59,5 @@
 
 /// Whether a report on incarnation `reported` may apply to the newest one.
 pub fn may_be_current(reported: Option<BornMs>, newest: Option<BornMs>) -> bool {
-    compare_lives(reported, newest) != LifeOrder::Older
+    compare_incarnations(reported, newest) != IncarnationOrder::Older
 }
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -58,7 +58,7 @@
     /// Notes that an event came; answers, once, whether the run has passed its beginning here.
     pub(super) fn passes_beginning(&mut self, now: Instant) -> bool {
         let first = *self.first_event_at.get_or_insert(now);
-        let has_passed = now.saturating_duration_since(first) >= BEGINNING;
+        let has_passed = now.saturating_duration_since(first) >= SUSPICION_WINDOW;
         has_passed && !std::mem::replace(&mut self.has_passed_beginning, true)
     }
 
@@ -160,7 +160,7 @@
         Ok(Sent::NotRun(refusal)) => {
             let at_fault = refusal
                 .at_fault
-                .and_then(|address| Some(target.path.as_ref()?.at(address)?.endpoint.clone()));
+                .and_then(|address| Some(target.path.as_ref()?.part_at(address)?.endpoint.clone()));
             let reason = format!("refused with status {}", refusal.status);
             let blamed = at_fault.as_deref().unwrap_or(&endpoint);
             if !refusal.misdirected {
--- a/crates/sillbank_gateway/src/streams/begin.rs
+++ b/crates/sillbank_gateway/src/streams/begin.rs
@@ -106,13 +106,13 @@
         service: &job.service,
         figures,
         route: &job.route,
-        urgency: job.urgency(),
+        priority: job.urgency(),
         left: job.head.time_left,
         draw: gateway.chance.fraction(),
     };
     let admitted = gateway.load.admit(gateway.routing_context(Instant::now()), ask);
     let metrics = &gateway.metrics.ladder;
-    metrics.on_asked(&job.service.name, ask.urgency, admitted);
+    metrics.on_asked(&job.service.name, ask.priority, admitted);
     if let Some(believed) = gateway.load.estimate(&job.service.name) {
         metrics.show(&job.service.name, believed);
     }
--- a/crates/sillbank_gateway/tests/call_book.rs
+++ b/crates/sillbank_gateway/tests/call_book.rs
@@ -1,6 +1,6 @@
 //! What a call timer records about an endpoint, also when nobody waits for the answer any more.
 
-use sillbank_admission::calls::{CallAsk, CallCandidate, CallChoice};
+use sillbank_admission::calls::{CallCandidate, CallDecision, CallRequest};
 use sillbank_gateway::call_tracker::CallTracker;
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 fn tracker() -> CallTracker {
     let tracker = CallTracker::default();
     let now = Instant::now();
-    tracker.with(SERVICE, |times| times.on_answer(QUICK, Duration::from_millis(20), now));
+    tracker.with(SERVICE, |times| times.record_answer(QUICK, Duration::from_millis(20), now));
     tracker
 }
 
@@ -23,12 +23,12 @@
 /// Whether a call with 800 ms left may go to the timed endpoint. The decision is made as of a
 /// moment before anything was recorded, so that nothing ages however long the test takes.
 fn accepts_calls(tracker: &CallTracker, now: Instant) -> bool {
-    let watched = CallCandidate { endpoint: WATCHED, is_home: true, in_flight: 0, places: 6 };
-    let ask = CallAsk { time_left: Duration::from_millis(800), may_repeat: false, rank: 0 };
-    let choose = |times: &mut sillbank_admission::calls::CallTimes| {
+    let watched = CallCandidate { endpoint: WATCHED, is_local: true, in_flight: 0, slots: 6 };
+    let ask = CallRequest { time_left: Duration::from_millis(800), is_idempotent: false, rank: 0 };
+    let choose = |times: &mut sillbank_admission::calls::CallBalancer| {
         times.choose(&[watched], ask, now, || 0.5)
     };
-    tracker.with(SERVICE, choose) == CallChoice::Send(0)
+    tracker.with(SERVICE, choose) == CallDecision::Send(0)
 }
 
 /// An unanswered call whose caller waited long marks its endpoint as slow.
--- a/crates/sillbank_gateway/tests/knowledge.rs
+++ b/crates/sillbank_gateway/tests/knowledge.rs
@@ -183,7 +183,8 @@
     );
     assert_eq!(view.endpoints(Directory::len), 2);
 
-    let nothing_new = Difference { begins_anew: false, changes: vec![], goes_on: false, seen: 1 };
+    let nothing_new =
+        Difference { starts_snapshot: false, changes: vec![], has_more: false, seen: 1 };
     view.apply_difference(&mut replication, revision(10), nothing_new, true);
 
     assert_eq!(replication.seen(), 0);
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -4,7 +4,7 @@
 mod engines;
 
 use engines::{LAYERS, SLOTS, service};
-use sillbank_admission::ladder::Urgency;
+use sillbank_admission::shedding::Priority;
 use sillbank_catalog::prelude::*;
 use sillbank_core::chance::Chance;
 use sillbank_core::prelude::*;
@@ -33,7 +33,7 @@
         name: "chat".to_owned(),
         host: "chat.example".to_owned(),
         path_prefix: "/".to_owned(),
-        kind: WorkKind::Call(Repeat::Safe),
+        kind: WorkKind::Call(Idempotency::Idempotent),
         timeout: Duration::from_secs(20),
         objective: OBJECTIVE,
         priority: 0,
@@ -76,7 +76,7 @@
     hall: Hall,
     chance: Chance,
     endpoint_tracker: EndpointTracker,
-    pushback: RefCell<PushbackBook>,
+    pushback: RefCell<PushbackTracker>,
     load: FleetLoad,
     service: Service,
     route: Route,
@@ -147,7 +147,7 @@
             service: &self.service,
             figures,
             route: &self.route,
-            urgency: Urgency { organisation: rank, route: 0 },
+            priority: Priority { organisation: rank, route: 0 },
             left: Some(left),
             draw: 0.5,
         };
@@ -348,9 +348,9 @@
     let vm = Vm::new();
     let figures = vm.service.engine.as_ref().expect("it has one");
     for draw in [0.0, 1.0, f64::NAN] {
-        let urgency = Urgency { organisation: 9, route: 9 };
+        let priority = Priority { organisation: 9, route: 9 };
         let (service, route) = (&vm.service, &vm.route);
-        let request = AdmissionRequest { service, figures, route, urgency, left: None, draw };
+        let request = AdmissionRequest { service, figures, route, priority, left: None, draw };
 
         assert_eq!(vm.load.admit(vm.routing_context(Duration::ZERO), request), Ok(()), "{draw}");
     }
@@ -361,7 +361,7 @@
 fn requests_are_counted_by_rank_and_end_and_absurd_ranks_as_the_last() {
     let metrics = LadderMetrics::default();
     let late = NotAdmitted { fullness: 1.0, is_late: true };
-    let of = |organisation| Urgency { organisation, route: 0 };
+    let of = |organisation| Priority { organisation, route: 0 };
 
     metrics.on_asked("gen", of(1), Ok(()));
     metrics.on_asked("gen", of(1), Err(NotAdmitted { is_late: false, ..late }));
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -105,7 +105,7 @@
     platform: PlatformView,
     hall: Hall,
     endpoint_tracker: Rc<EndpointTracker>,
-    pushback: RefCell<PushbackBook>,
+    pushback: RefCell<PushbackTracker>,
     chance: Chance,
 }
 
@@ -148,7 +148,7 @@
 
 fn path_for(service: &Service, context: RoutingContext<'_>) -> Option<LayerPath> {
     let figures = service.engine.as_ref().expect("it has one");
-    let demand = Demand::usual(figures);
+    let demand = RequestSize::usual(figures);
     let request = PathRequest { service, figures, local_hall: HOME, avoid: &[], demand };
     choose_path(context, request)
 }
@@ -400,7 +400,10 @@
     let vm = Vm::new(&chance());
     vm.set_endpoints(&records);
     vm.hall.reports.insert(now, hall_report(HOME, records.iter().map(idle).collect()));
-    let rest = Pushback { rest: RestWord::For(Duration::from_secs(3)), ..Pushback::default() };
+    let rest = Pushback {
+        retry_after: RetryAfterSignal::For(Duration::from_secs(3)),
+        ..Pushback::default()
+    };
     for engine in ["near", "last"] {
         vm.pushback.borrow_mut().on_answer(engine, None, rest, 0.5, now);
     }
--- a/crates/sillbank_gateway/tests/store.rs
+++ b/crates/sillbank_gateway/tests/store.rs
@@ -8,7 +8,7 @@
 fn a_rate_limited_call_is_no_outage() {
     let trouble = StoreError::Refused(429).trouble();
 
-    assert_eq!(trouble, StoreTrouble::TurnsAway);
+    assert_eq!(trouble, StoreFailure::RateLimited);
 }
 
 /// Status 503 and missing answers may mean that endpoints cannot reach the store either.
@@ -22,5 +22,5 @@
 
     let troubles = errors.map(|error| error.trouble());
 
-    assert_eq!(troubles, [StoreTrouble::Away; 3]);
+    assert_eq!(troubles, [StoreFailure::Unreachable; 3]);
 }
