--- a/crates/sillbank_gateway/src/ends.rs
+++ b/crates/sillbank_gateway/src/ends.rs
@@ -83,14 +83,14 @@
         return;
     }
     if has_ended(gateway, &send).await {
-        gateway.on_ended_under(job, &send);
+        gateway.on_endpoint_crash(job, &send);
         return;
     }
     let (there, job) = (gateway.clone(), job.clone());
     let look_again = async move {
         smol::Timer::after(LOOK_AGAIN).await;
         if has_ended(&there, &send).await {
-            there.on_ended_under(&job, &send);
+            there.on_endpoint_crash(&job, &send);
         }
     };
     gateway.executor.spawn(look_again).detach();
--- a/crates/sillbank_gateway/src/feed/client.rs
+++ b/crates/sillbank_gateway/src/feed/client.rs
@@ -4,7 +4,7 @@
     EndpointUpdate, FeedCursor, FeedReply, FeedRequest, FeedUpdate, Incarnation,
 };
 use crate::gateway::Gateway;
-use crate::limit_parts::PartsFrom;
+use crate::rate_leases::LeaseGrantor;
 use crate::store::MetadataStore;
 use crate::wire::Wire;
 use sillbank_catalog::prelude::*;
@@ -51,11 +51,11 @@
 }
 
 impl RequestKind {
-    /// Who hands out parts of rate limits in reply to this request.
-    fn parts_from(&self) -> Option<PartsFrom> {
+    /// Who grants rate leases in reply to this request.
+    fn grantor(&self) -> Option<LeaseGrantor> {
         match self {
-            Self::OwnHall => Some(PartsFrom::OwnLeader),
-            Self::OtherHall(hall) => Some(PartsFrom::Hall(hall.clone())),
+            Self::OwnHall => Some(LeaseGrantor::OwnLeader),
+            Self::OtherHall(hall) => Some(LeaseGrantor::Hall(hall.clone())),
             Self::Source => None,
         }
     }
@@ -152,7 +152,7 @@
         let sent = Instant::now();
         match request_once(&gateway, &mut connection, leader, &RequestKind::OwnHall).await {
             Ok(FeedReply::Update(update)) => {
-                apply_parts(&gateway, &update, &PartsFrom::OwnLeader, sent);
+                apply_grants(&gateway, &update, &LeaseGrantor::OwnLeader, sent);
                 let holds_lease = update.holds_lease;
                 gateway.hall.on_hall_vms(update.hall_vms);
                 let confirmed = apply_update(&gateway, &mut connection, *update, sent, true);
@@ -203,7 +203,7 @@
             MAX_SENT_SUSPECTS,
             Instant::now(),
         );
-        let (now, parts_from) = (Instant::now(), kind.parts_from());
+        let (now, grantor) = (Instant::now(), kind.grantor());
         let new_limits = gateway.pushback.borrow().observed_updates_since(
             connection.limits_sent,
             MAX_SENT_LIMITS,
@@ -221,7 +221,9 @@
             demand: gateway.demand_report(*kind == RequestKind::OwnHall),
             suspects: new_suspects.suspects,
             limits: new_limits.limits,
-            wants: parts_from.map(|from| gateway.wants_of(&from, now)).unwrap_or_default(),
+            rate_demands: grantor
+                .map(|from| gateway.rate_demands_of(&from, now))
+                .unwrap_or_default(),
         };
         let reply = connection.request(&request).await?;
         if let FeedReply::Update(update) = &reply {
@@ -278,17 +280,17 @@
     confirmed
 }
 
-/// Applies the parts of rate limits in a leader's update. The limits come first, as a part of an
-/// unknown limit would be ignored.
-fn apply_parts<W: Wire, S: MetadataStore>(
+/// Applies the rate leases in a leader's update. The limits come first, as a lease for an unknown
+/// limit would be ignored.
+fn apply_grants<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     update: &FeedUpdate,
-    from: &PartsFrom,
+    from: &LeaseGrantor,
     sent: Instant,
 ) {
     gateway.on_reported_limits(&update.limits.limits, "a leader");
-    if let Some(given_at) = update.local_creation_time(sent, Instant::now()) {
-        gateway.apply_parts(&update.parts, from, given_at);
+    if let Some(granted_at) = update.local_creation_time(sent, Instant::now()) {
+        gateway.apply_grants(&update.rate_leases, from, granted_at);
     }
 }
 
@@ -342,7 +344,7 @@
         let kind = RequestKind::OtherHall(self.hall.clone());
         match request_once(gateway, &mut self.connection, leader, &kind).await {
             Ok(FeedReply::Update(update)) => {
-                apply_parts(gateway, &update, &PartsFrom::Hall(self.hall.clone()), sent);
+                apply_grants(gateway, &update, &LeaseGrantor::Hall(self.hall.clone()), sent);
                 let takes_endpoints =
                     !gateway.store_is_reached() || gateway.upstream_is_fresh(sent);
                 let follows_store = update.follows_store;
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -58,7 +58,7 @@
     /// Rate limits that endpoints sent it and that it has not reported yet.
     pub limits: Vec<LimitUpdate>,
     /// Rates that it, or as a leader its hall, would send to endpoints with a limit.
-    pub wants: Vec<RateDemand>,
+    pub rate_demands: Vec<RateDemand>,
 }
 
 /// Changes of the leader's directory that the follower lacks.
@@ -229,8 +229,8 @@
     pub quarantine: QuarantineUpdate,
     /// Rate limits of endpoints that are new to the follower.
     pub limits: LimitUpdates,
-    /// The follower's parts of rate limits, or those of its hall if it leads another one.
-    pub parts: Vec<RateLeaseGrant>,
+    /// Rate leases of the follower, or those of its hall if it leads another one.
+    pub rate_leases: Vec<RateLeaseGrant>,
 }
 
 impl FeedUpdate {
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -139,7 +139,7 @@
             MAX_LIMITS,
             now,
         ),
-        parts: gateway.give_parts(request, now),
+        rate_leases: gateway.grant_leases(request, now),
     }))
 }
 
@@ -156,7 +156,7 @@
     };
     has_newer_catalog(gateway, request)
         || cursor.is_none_or(is_new)
-        || gateway.owes_part(request, Instant::now())
+        || gateway.owes_lease(request, Instant::now())
 }
 
 fn has_newer_catalog<W: Wire, S: MetadataStore>(
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -12,11 +12,11 @@
 use crate::freshness::Freshness;
 use crate::hall::{Hall, LeaderScore};
 use crate::job::Job;
-use crate::limit_parts::LimitParts;
 use crate::load::FleetLoad;
 use crate::metrics::{KindLabel, Metrics, OutcomeLabel};
 use crate::paths::RoutingContext;
 use crate::platform_view::PlatformView;
+use crate::rate_leases::RateLeases;
 use crate::revision::Revision;
 use crate::settings::GatewaySettings;
 use crate::store::StoreError;
@@ -75,8 +75,8 @@
     pub ends: EndedEndpoints,
     /// Rate limits and pauses that endpoints asked for in their answers.
     pub pushback: RefCell<PushbackTracker>,
-    /// Parts of the endpoints' rate limits that this VM hands out while it leads.
-    pub limit_parts: LimitParts,
+    /// Rate leases that this VM grants while it leads.
+    pub rate_leases: RateLeases,
     /// Requests during which endpoints ended.
     pub quarantine: RefCell<Quarantine>,
     /// Whether the quarantine list was received from a leader or read from the store since the
@@ -146,7 +146,7 @@
             endpoint_tracker: Rc::default(),
             ends: EndedEndpoints::default(),
             pushback: RefCell::default(),
-            limit_parts: LimitParts::default(),
+            rate_leases: RateLeases::default(),
             quarantine: RefCell::default(),
             quarantine_is_loaded: Cell::new(false),
             quarantine_announced: Cell::new(0),
--- a/crates/sillbank_gateway/src/lib.rs
+++ b/crates/sillbank_gateway/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`ends`] distinguishes an endpoint that crashed during a request from a broken connection.
 //! - [`quarantine`] refuses requests that crash their endpoints, [`quarantine_store`] keeps them in
 //!   the store.
-//! - [`pushback`] applies the limits and pauses that endpoints ask for, [`limit_parts`] divides
+//! - [`pushback`] applies the limits and pauses that endpoints ask for, [`rate_leases`] divides
 //!   limits among VMs.
 //! - [`revision`] orders states of the store, also across restores from a backup.
 //! - [`repeats`] decides whether a request may be sent again.
@@ -53,7 +53,6 @@
 pub mod job;
 pub mod ladder_metrics;
 pub mod lifecycle;
-pub mod limit_parts;
 pub mod load;
 pub mod mechanisms;
 pub mod metrics;
@@ -65,6 +64,7 @@
 pub mod pushback;
 pub mod quarantine;
 pub mod quarantine_store;
+pub mod rate_leases;
 pub mod repeats;
 pub mod restarts;
 pub mod revision;
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -1,6 +1,6 @@
 //! Push-back of endpoints: applies what they ask for in their answers, and reports it to other VMs.
 //!
-//! Every choice of an endpoint checks it here first; [`crate::limit_parts`] divides rate limits
+//! Every choice of an endpoint checks it here first; [`crate::rate_leases`] divides rate limits
 //! among VMs.
 
 use crate::gateway::Gateway;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Interval at which expiry is checked, and at which a leader takes its own parts, well within
+/// Interval at which expiry is checked, and at which a leader grants itself leases, well within
 /// their term.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -41,7 +41,7 @@
             let events: Vec<_> =
                 events.into_iter().map(|event| (endpoint.to_owned(), event)).collect();
             self.on_pushback_events(&events, "the endpoint");
-            self.take_own_parts(now);
+            self.grant_own_leases(now);
         }
     }
 
@@ -145,13 +145,13 @@
         }
         let now = Instant::now();
         checked_at = now;
-        gateway.update_divider(now);
+        gateway.update_allocator(now);
         if gateway.pushback.borrow().is_empty() {
             continue;
         }
         let lapsed = gateway.pushback.borrow_mut().expire(now);
         gateway.on_pushback_events(&lapsed, "time");
         gateway.update_pushback_metrics();
-        gateway.take_own_parts(now);
+        gateway.grant_own_leases(now);
     }
 }
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -22,7 +22,7 @@
 impl<W: Wire, S> Gateway<W, S> {
     /// Records that an endpoint crashed while it ran a request. The crash counts against a request
     /// that had just started there.
-    pub fn on_ended_under(&self, job: &Job, send: &BrokenSend) {
+    pub fn on_endpoint_crash(&self, job: &Job, send: &BrokenSend) {
         let is_beginning = send.ran_for().is_none_or(|ran| ran < SUSPICION_WINDOW);
         self.decisions.ended_under(job, send, is_beginning);
         if !is_beginning {
--- a/crates/sillbank_gateway/tests/freshness.rs
+++ b/crates/sillbank_gateway/tests/freshness.rs
@@ -106,7 +106,7 @@
         hall_reports: Vec::new(),
         quarantine: Default::default(),
         limits: Default::default(),
-        parts: Vec::new(),
+        rate_leases: Vec::new(),
     }
 }
 
