--- a/crates/sillbank_gateway/src/backoff.rs
+++ b/crates/sillbank_gateway/src/backoff.rs
@@ -7,12 +7,12 @@
 /// Pause after the first failed call; doubled up to [`Hall::longest_pause`] and multiplied by a
 /// random share, so that VMs do not all retry at once. The VM that reports to its hall takes the
 /// longest pause without a random share.
-const PAUSE_MIN: Duration = Duration::from_millis(100);
+const INITIAL_PAUSE: Duration = Duration::from_millis(100);
 /// Minimum random share of a pause. With 0.5, the VMs of a hall whose calls had all failed retried
 /// only after half of the longest pause, and none of them sooner.
-const LEAST_SHARE: f64 = 0.1;
+const MIN_RANDOM_SHARE: f64 = 0.1;
 /// Maximum number of doublings of the first pause.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 
 /// Counts consecutive failed calls.
 #[derive(Debug, Default)]
@@ -23,10 +23,10 @@
 impl Backoff {
     /// Starts the pause after another failed call. `draw` is a random number from 0 to 1.
     pub fn next_pause(&mut self, now: Instant, draw: f64) -> Pause {
-        let by_failures = PAUSE_MIN.saturating_mul(1 << self.failures.min(MOST_DOUBLINGS));
+        let exponential = INITIAL_PAUSE.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
-        let share = LEAST_SHARE + (1.0 - LEAST_SHARE) * draw.clamp(0.0, 1.0);
-        Pause { began: now, by_failures, share }
+        let share = MIN_RANDOM_SHARE + (1.0 - MIN_RANDOM_SHARE) * draw.clamp(0.0, 1.0);
+        Pause { began: now, exponential, share }
     }
 }
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Pause {
     began: Instant,
-    by_failures: Duration,
+    exponential: Duration,
     share: f64,
 }
 
@@ -45,12 +45,12 @@
         let longest = hall.longest_pause(now, freshness);
         // A single failed call shows that the store is unreachable for both; the leader keeps
         // trying.
-        let whole = if hall.leader_is_live(now) { longest } else { self.by_failures.min(longest) };
+        let full = if hall.leader_is_live(now) { longest } else { self.exponential.min(longest) };
         // No other VM of the hall retries along with the one that reports to it, and its first
         // pauses were random. With a random share of the longest pause as well, it called 3.4 times
         // a second where two serve the hall as well.
-        let is_drawn = hall.tells.get().is_none() || whole < longest;
-        let share = if is_drawn { self.share } else { 1.0 };
-        (self.began + whole.mul_f64(share)).saturating_duration_since(now)
+        let is_randomised = hall.tells.get().is_none() || full < longest;
+        let share = if is_randomised { self.share } else { 1.0 };
+        (self.began + full.mul_f64(share)).saturating_duration_since(now)
     }
 }
--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -43,9 +43,9 @@
 }
 
 /// Counts a request as in progress until dropped.
-struct Progress<W: Wire, S: MetadataStore>(Rc<Gateway<W, S>>);
+struct InProgressGuard<W: Wire, S: MetadataStore>(Rc<Gateway<W, S>>);
 
-impl<W: Wire, S: MetadataStore> Progress<W, S> {
+impl<W: Wire, S: MetadataStore> InProgressGuard<W, S> {
     fn begin(gateway: &Rc<Gateway<W, S>>) -> Self {
         gateway.in_progress.set(gateway.in_progress.get() + 1);
         gateway.metrics.in_progress.inc();
@@ -53,7 +53,7 @@
     }
 }
 
-impl<W: Wire, S: MetadataStore> Drop for Progress<W, S> {
+impl<W: Wire, S: MetadataStore> Drop for InProgressGuard<W, S> {
     fn drop(&mut self) {
         self.0.in_progress.set(self.0.in_progress.get() - 1);
         self.0.metrics.in_progress.dec();
@@ -62,7 +62,7 @@
 
 impl<W: Wire, S: MetadataStore> Handler for CallerHandler<W, S> {
     async fn handle(&self, request: Request<Incoming>) -> Response<ReplyBody> {
-        let _progress = Progress::begin(&self.gateway);
+        let _in_progress = InProgressGuard::begin(&self.gateway);
         let began = Instant::now();
         let (parts, body) = request.into_parts();
         let head = match W::read_caller(&parts.headers) {
@@ -72,7 +72,7 @@
                 return self.refuse("", &failure);
             }
         };
-        self.await_first_knowledge().await;
+        self.wait_for_startup().await;
         let admitted = self.admit(&head, &parts, Instant::now());
         match admitted {
             Ok(admitted) => match self.read_body(body, &admitted).await {
@@ -105,27 +105,27 @@
     /// Waits, for a limited time, until a process that has just started knows enough to serve. That
     /// state is about to arrive, so the request can probably be served; and when all VMs start at
     /// once, refused callers would all retry together.
-    async fn await_first_knowledge(&self) {
+    async fn wait_for_startup(&self) {
         let gateway = &self.gateway;
         let knowledge = &gateway.knowledge;
-        let knows_enough = || {
+        let can_serve = || {
             knowledge.catalog().is_some()
                 && knowledge.knows_endpoints()
                 && gateway.quarantine_is_known.get()
         };
-        let left = FIRST_KNOWLEDGE_WAIT.saturating_sub(gateway.age(Instant::now()));
-        if knows_enough() || left.is_zero() {
+        let remaining = FIRST_KNOWLEDGE_WAIT.saturating_sub(gateway.age(Instant::now()));
+        if can_serve() || remaining.is_zero() {
             return;
         }
-        let late = async {
-            smol::Timer::after(left).await;
+        let timeout = async {
+            smol::Timer::after(remaining).await;
         };
-        let known = async {
-            while !knows_enough() {
+        let ready = async {
+            while !can_serve() {
                 knowledge.changed().await;
             }
         };
-        futures_lite::future::or(known, late).await;
+        futures_lite::future::or(ready, timeout).await;
     }
 
     /// Looks up route, key and service. A VM whose configuration is stale never denies a request;
@@ -136,11 +136,11 @@
             return Err(failure.retry_after(COME_BACK_UNINFORMED));
         }
         let knowledge = &self.gateway.knowledge;
-        let catalog = knowledge.catalog().ok_or_else(|| uninformed("no configuration is known"))?;
+        let catalog = knowledge.catalog().ok_or_else(|| not_ready("no configuration is known"))?;
         let is_fresh = knowledge.is_fresh(now);
         let deny = |kind, reason: &str| match is_fresh {
             true => Failure::before_work(kind, reason),
-            false => uninformed("the configuration could not be confirmed for too long"),
+            false => not_ready("the configuration could not be confirmed for too long"),
         };
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
         let route = catalog
@@ -154,7 +154,7 @@
                 let found =
                     found.ok_or_else(|| deny(FailureKind::UnknownKey, "the key is not known"))?;
                 if !is_fresh {
-                    return Err(uninformed("the key could not be confirmed for too long"));
+                    return Err(not_ready("the key could not be confirmed for too long"));
                 }
                 Some(found)
             }
@@ -162,16 +162,20 @@
         let service = route
             .choose_service(self.gateway.chance.fraction())
             .and_then(|name| catalog.service(name))
-            .ok_or_else(|| uninformed("the route's service is not configured"))?;
+            .ok_or_else(|| not_ready("the route's service is not configured"))?;
         if self.gateway.standing() == Standing::Full {
-            return Err(self.at_limit(&route, &service.name, "the VM is at a limit of its own"));
+            return Err(self.at_limit_failure(
+                &route,
+                &service.name,
+                "the VM is at a limit of its own",
+            ));
         }
         Ok(Admitted { route, service, organisation, limits: catalog.limits() })
     }
 
     /// Refuses a request because this VM is at one of its limits. Refused callers get spread-out
     /// times to retry.
-    fn at_limit(&self, route: &Route, service: &str, reason: &str) -> Failure {
+    fn at_limit_failure(&self, route: &Route, service: &str, reason: &str) -> Failure {
         let failure = Failure::before_work(FailureKind::VmAtLimit, reason);
         match self.gateway.settings().mechanisms.return_times {
             true => {
@@ -190,42 +194,42 @@
         admitted: &Admitted,
     ) -> Result<ReadBody, Failure> {
         let limits = admitted.limits;
-        let no_memory = || {
+        let out_of_memory = || {
             let reason = "what the VM keeps for its callers has reached its bound";
-            self.at_limit(&admitted.route, &admitted.service.name, reason)
+            self.at_limit_failure(&admitted.route, &admitted.service.name, reason)
         };
         let too_large = || {
             let reason = format!("the body is longer than {} bytes", limits.max_body_bytes);
             Failure::before_work(FailureKind::TooLarge, reason)
         };
-        let mut kept = self.gateway.kept.try_keep(0).ok_or_else(no_memory)?;
+        let mut kept = self.gateway.kept.try_keep(0).ok_or_else(out_of_memory)?;
         if body.is_end_stream() {
             return Ok(ReadBody { bytes: Bytes::new(), kept });
         }
         if body.size_hint().lower() > limits.max_body_bytes as u64 {
             return Err(too_large());
         }
-        let mut whole = BytesMut::new();
+        let mut buffer = BytesMut::new();
         loop {
-            let late = async {
+            let timeout = async {
                 smol::Timer::after(limits.head_timeout).await;
                 Err(Failure::before_work(FailureKind::RequestTimeout, "the body stood still"))
             };
             let next = async { Ok(body.frame().await) };
-            let Some(frame) = futures_lite::future::or(next, late).await? else {
-                return Ok(ReadBody { bytes: whole.freeze(), kept });
+            let Some(frame) = futures_lite::future::or(next, timeout).await? else {
+                return Ok(ReadBody { bytes: buffer.freeze(), kept });
             };
             let frame = frame.map_err(|error| {
                 Failure::before_work(FailureKind::MalformedBody, format!("the body broke: {error}"))
             })?;
             if let Ok(data) = frame.into_data() {
-                if whole.len() + data.len() > limits.max_body_bytes {
+                if buffer.len() + data.len() > limits.max_body_bytes {
                     return Err(too_large());
                 }
                 if !kept.try_grow(BODY_COPIES * data.len()) {
-                    return Err(no_memory());
+                    return Err(out_of_memory());
                 }
-                whole.extend_from_slice(&data);
+                buffer.extend_from_slice(&data);
             }
         }
     }
@@ -238,11 +242,11 @@
         admitted: Admitted,
         began: Instant,
     ) -> Response<ReplyBody> {
-        let caller = caller_mark(&head, &parts);
+        let caller = caller_id(&head, &parts);
         let mut headers = parts.headers;
         strip_connection_headers(&mut headers);
-        let longest = admitted.route.timeout;
-        let deadline = began + head.time_left.map_or(longest, |left| left.min(longest));
+        let max_time = admitted.route.timeout;
+        let deadline = began + head.time_left.map_or(max_time, |left| left.min(max_time));
         let job = Rc::new(Job {
             head,
             method: parts.method,
@@ -276,7 +280,7 @@
 }
 
 /// Hash of a request's key and connection.
-fn caller_mark(head: &CallerHead, parts: &Parts) -> Option<CallerMark> {
+fn caller_id(head: &CallerHead, parts: &Parts) -> Option<CallerMark> {
     let connection = parts.extensions.get::<ConnectionNumber>()?;
     let mut hasher = DefaultHasher::new();
     head.key.hash(&mut hasher);
@@ -284,6 +288,6 @@
     Some(hasher.finish())
 }
 
-fn uninformed(reason: &str) -> Failure {
+fn not_ready(reason: &str) -> Failure {
     Failure::before_work(FailureKind::NotReady, reason).retry_after(COME_BACK_UNINFORMED)
 }
--- a/crates/sillbank_gateway/src/channels.rs
+++ b/crates/sillbank_gateway/src/channels.rs
@@ -12,15 +12,15 @@
 
 /// Idle time of a connection if the endpoint names none; below the idle timeouts of common HTTP
 /// servers.
-const DEFAULT_REST: Duration = Duration::from_secs(8);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(8);
 /// Time before the endpoint's idle timeout at which a connection is no longer used, so that a
 /// request does not cross its closing.
-const REST_MARGIN: Duration = Duration::from_millis(1_000);
+const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
 /// Timeout of opening a connection. Halls are a fraction of a millisecond apart, and a lost first
 /// packet is retransmitted after a second.
 pub const CONNECT_LIMIT: Duration = Duration::from_millis(400);
 /// Maximum idle connections per endpoint.
-const MAX_KEPT: usize = 64;
+const MAX_IDLE_PER_ENDPOINT: usize = 64;
 
 /// A connection to one endpoint that carries one request at a time.
 #[derive(Debug)]
@@ -33,28 +33,28 @@
     pub address: SocketAddr,
     /// When it was opened.
     pub opened_at: Instant,
-    rest_until: Instant,
+    idle_until: Instant,
 }
 
 /// Idle connections, by endpoint.
 #[derive(Debug)]
 pub struct ChannelPool {
     executor: Rc<LocalExecutor<'static>>,
-    resting: RefCell<HashMap<EndpointId, Vec<Channel>>>,
+    idle: RefCell<HashMap<EndpointId, Vec<Channel>>>,
 }
 
 impl ChannelPool {
     /// Creates an empty pool.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
-        Self { executor, resting: RefCell::default() }
+        Self { executor, idle: RefCell::default() }
     }
 
     /// Takes the most recently used connection to an endpoint that is still usable. An endpoint
     /// that restarts may have another address; connections to the previous address are closed.
     pub fn take(&self, endpoint: &str, address: SocketAddr, now: Instant) -> Option<Channel> {
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.get_mut(endpoint)?;
-        while let Some(channel) = kept.pop() {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(endpoint)?;
+        while let Some(channel) = connections.pop() {
             if channel.address == address && is_usable(&channel, now) {
                 return Some(channel);
             }
@@ -67,61 +67,61 @@
     /// # Errors
     /// The connection error, or `TimedOut` after [`CONNECT_LIMIT`].
     pub async fn open(&self, address: SocketAddr) -> std::io::Result<Channel> {
-        let late = async {
+        let timeout = async {
             smol::Timer::after(CONNECT_LIMIT).await;
             Err(std::io::Error::from(std::io::ErrorKind::TimedOut))
         };
         let open = Connection::open(&self.executor, address);
-        let connection = futures_lite::future::or(open, late).await?;
+        let connection = futures_lite::future::or(open, timeout).await?;
         let now = Instant::now();
-        Ok(Channel { connection, reused: false, address, opened_at: now, rest_until: now })
+        Ok(Channel { connection, reused: false, address, opened_at: now, idle_until: now })
     }
 
     /// Returns a connection to the pool after a complete reply, unless the reply's head closes it.
     pub fn give_back(&self, endpoint: &str, mut channel: Channel, reply: &HeaderMap, now: Instant) {
-        let Some(rest) = rest_time(reply) else {
+        let Some(idle_time) = idle_time(reply) else {
             return;
         };
-        channel.rest_until = now + rest;
+        channel.idle_until = now + idle_time;
         channel.reused = true;
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.entry(endpoint.to_owned()).or_default();
-        if kept.len() < MAX_KEPT && !channel.connection.sender.is_closed() {
-            kept.push(channel);
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(endpoint.to_owned()).or_default();
+        if connections.len() < MAX_IDLE_PER_ENDPOINT && !channel.connection.sender.is_closed() {
+            connections.push(channel);
         }
     }
 
     /// Closes connections whose idle time is over or that the endpoint closed.
     pub fn sweep(&self, now: Instant) {
-        let mut resting = self.resting.borrow_mut();
-        for kept in resting.values_mut() {
-            kept.retain(|channel| is_usable(channel, now));
+        let mut idle = self.idle.borrow_mut();
+        for connections in idle.values_mut() {
+            connections.retain(|channel| is_usable(channel, now));
         }
-        resting.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
     /// Closes all idle connections to an endpoint.
     pub fn forget(&self, endpoint: &str) {
-        self.resting.borrow_mut().remove(endpoint);
+        self.idle.borrow_mut().remove(endpoint);
     }
 }
 
 fn is_usable(channel: &Channel, now: Instant) -> bool {
-    now < channel.rest_until && channel.connection.sender.is_ready()
+    now < channel.idle_until && channel.connection.sender.is_ready()
 }
 
 /// How long a connection may stay idle after a reply; `None` if the reply closes it.
-fn rest_time(reply: &HeaderMap) -> Option<Duration> {
+fn idle_time(reply: &HeaderMap) -> Option<Duration> {
     let has_close = |value: &hyper::header::HeaderValue| {
         value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close"))
     };
     if reply.get_all(CONNECTION).iter().any(has_close) {
         return None;
     }
-    let named = reply.get("keep-alive").and_then(|value| value.to_str().ok()).and_then(|text| {
+    let stated = reply.get("keep-alive").and_then(|value| value.to_str().ok()).and_then(|text| {
         let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.trim().parse().ok().map(Duration::from_secs)
     });
-    let rest = named.unwrap_or(DEFAULT_REST).checked_sub(REST_MARGIN)?;
-    (!rest.is_zero()).then_some(rest)
+    let idle_time = stated.unwrap_or(DEFAULT_IDLE_TIME).checked_sub(IDLE_MARGIN)?;
+    (!idle_time.is_zero()).then_some(idle_time)
 }
--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -19,7 +19,7 @@
 
 /// Maximum lines about requests per second. At about 300 bytes each this is at most 60 KB per
 /// second.
-const LINES_PER_S: u32 = 200;
+const MAX_LINES_PER_S: u32 = 200;
 
 /// How a request ended, as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -67,17 +67,17 @@
 /// Writes the decision log, with a rate limit on lines about requests.
 #[derive(Debug)]
 pub struct Decisions {
-    second_began: Cell<Instant>,
-    written: Cell<u32>,
-    left_out: Cell<u64>,
+    window_start: Cell<Instant>,
+    lines_written: Cell<u32>,
+    lines_dropped: Cell<u64>,
 }
 
 impl Default for Decisions {
     fn default() -> Self {
         Self {
-            second_began: Cell::new(Instant::now()),
-            written: Cell::new(0),
-            left_out: Cell::new(0),
+            window_start: Cell::new(Instant::now()),
+            lines_written: Cell::new(0),
+            lines_dropped: Cell::new(0),
         }
     }
 }
@@ -85,7 +85,7 @@
 impl Decisions {
     /// A request was refused before it was admitted.
     pub fn refused(&self, request_id: &str, failure: &Failure, stamp: KnowledgeStamp) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = request_id,
                 status = failure.kind.http_status(),
@@ -108,7 +108,7 @@
         resume_after: Option<u64>,
         stamp: KnowledgeStamp,
     ) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 route = job.route.name,
@@ -130,7 +130,7 @@
 
     /// A send ended without the answer for the caller.
     pub fn send_failed(&self, job: &Job, end: &SendEnd<'_>) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 send = job.sends.get(),
@@ -146,7 +146,7 @@
 
     /// A request is withheld from an endpoint that asked for fewer.
     pub fn withheld(&self, job: &Job, withheld: &Withheld) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 endpoint = withheld.endpoint,
@@ -158,7 +158,7 @@
 
     /// An endpoint ended while it had this request, which may or may not be the cause.
     pub fn ended_under(&self, job: &Job, send: &BrokenSend, is_suspected: bool) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 fingerprint = describe_fingerprint(job.fingerprint()),
@@ -180,7 +180,7 @@
         end: OrderEnd,
         stamp: KnowledgeStamp,
     ) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 at_fault = lost.join(","),
@@ -194,8 +194,8 @@
 
     /// A request ended.
     pub fn ended(&self, job: &Job, outcome: Outcome, status: u16, events: u64, reason: &str) {
-        let foretold = job.foretold().map(|foretold| foretold.corrected);
-        if self.fits() {
+        let forecast = job.foretold().map(|foretold| foretold.corrected);
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 route = job.route.name,
@@ -210,8 +210,8 @@
                 reason,
                 first_ms = job.delivery.first().map(|first| first.as_millis() as u64),
                 pause_ms = job.delivery.longest_pause().as_millis() as u64,
-                foretold_first_ms = foretold.map(|told| told.first_event.as_millis() as u64),
-                foretold_pause_ms = foretold.map(|told| told.pause.as_millis() as u64),
+                foretold_first_ms = forecast.map(|forecast| forecast.first_event.as_millis() as u64),
+                foretold_pause_ms = forecast.map(|forecast| forecast.pause.as_millis() as u64),
                 moves = job.delivery.moves(),
                 total_ms = job.began.elapsed().as_millis() as u64,
                 "caller: Ended."
@@ -265,25 +265,25 @@
         );
     }
 
-    fn fits(&self) -> bool {
+    fn take_line(&self) -> bool {
         let now = Instant::now();
-        if now.saturating_duration_since(self.second_began.get()) >= Duration::from_secs(1) {
-            let left_out = self.left_out.replace(0);
-            if left_out > 0 {
+        if now.saturating_duration_since(self.window_start.get()) >= Duration::from_secs(1) {
+            let lines_dropped = self.lines_dropped.replace(0);
+            if lines_dropped > 0 {
                 tracing::warn!(
-                    left_out,
-                    limit_per_s = LINES_PER_S,
+                    left_out = lines_dropped,
+                    limit_per_s = MAX_LINES_PER_S,
                     "log: Lines dropped by the rate limit."
                 );
             }
-            self.second_began.set(now);
-            self.written.set(0);
+            self.window_start.set(now);
+            self.lines_written.set(0);
         }
-        if self.written.get() >= LINES_PER_S {
-            self.left_out.set(self.left_out.get() + 1);
+        if self.lines_written.get() >= MAX_LINES_PER_S {
+            self.lines_dropped.set(self.lines_dropped.get() + 1);
             return false;
         }
-        self.written.set(self.written.get() + 1);
+        self.lines_written.set(self.lines_written.get() + 1);
         true
     }
 }
@@ -296,8 +296,8 @@
 /// A path as one word: `ENDPOINT=FROM-TO` for each part.
 pub fn describe_path(path: &LayerPath) -> String {
     let parts = path.parts().iter();
-    let texts: Vec<String> = parts
+    let words: Vec<String> = parts
         .map(|part| format!("{}={}-{}", part.endpoint, part.layers.first, part.layers.end))
         .collect();
-    texts.join(",")
+    words.join(",")
 }
--- a/crates/sillbank_gateway/src/doctor.rs
+++ b/crates/sillbank_gateway/src/doctor.rs
@@ -13,18 +13,18 @@
 
 /// Timeout of a report. A report does not wait in the engine's queue, so only the network's latency
 /// counts; halls are a fraction of a millisecond apart.
-const REPORT_LIMIT: Duration = Duration::from_millis(300);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout of a probe of a silent stream's engines. Engines answer within a few milliseconds; a VM
 /// with an eighth of a core may have to wait for the processor. With 100 ms, streams that were
 /// moved around a silent engine paused for 200 to 450 ms, where 250 ms is in time.
-const PROBE_LIMIT: Duration = Duration::from_millis(60);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 /// Share of a stream's silence, its latest part, in which evidence of an engine (an answer, or an
 /// event of another stream that passes it) makes a probe unnecessary. Older evidence may precede
 /// the engine's loss: every stream that passes an engine receives data until the loss, some of them
 /// later than this stream. Probing all engines at each pause lowered the total value of served
 /// requests by 0.02 on a fleet of 6 VMs.
-const EVIDENCE_PART: f64 = 0.5;
+const EVIDENCE_SHARE: f64 = 0.5;
 
 /// How often ejected engines are probed.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
@@ -53,7 +53,7 @@
     first: SocketAddr,
     request_id: &str,
 ) -> Diagnosis {
-    let reply = match gateway.engine_calls.call(first, W::report_call(), REPORT_LIMIT).await {
+    let reply = match gateway.engine_calls.call(first, W::report_call(), REPORT_TIMEOUT).await {
         Ok(reply) => reply,
         Err(error) => return Diagnosis::Silent(error.to_string()),
     };
@@ -86,19 +86,19 @@
 /// cut off or slow.
 pub fn lost_by_probes(probes: &[(EndpointId, Probe)]) -> Vec<(EndpointId, Probe)> {
     let answered = probes.iter().filter(|(_, probe)| *probe == Probe::Answered).count();
-    let most_answered = answered * 2 > probes.len();
+    let majority_answered = answered * 2 > probes.len();
     let is_lost = |probe: Probe| match probe {
         Probe::Answered => false,
         Probe::Refused => true,
-        Probe::Silent => most_answered,
+        Probe::Silent => majority_answered,
     };
     probes.iter().filter(|(_, probe)| is_lost(*probe)).cloned().collect()
 }
 
 /// Start of the time in which evidence of an engine counts, for a stream that has been silent for
-/// `stood`.
-pub fn evidence_since(now: Instant, stood: Duration) -> Instant {
-    now.checked_sub(stood.mul_f64(EVIDENCE_PART)).unwrap_or(now)
+/// `silent_for`.
+pub fn evidence_since(now: Instant, silent_for: Duration) -> Instant {
+    now.checked_sub(silent_for.mul_f64(EVIDENCE_SHARE)).unwrap_or(now)
 }
 
 /// Probes, all at once, the engines of a path for which there is no recent evidence. Returns the
@@ -106,21 +106,22 @@
 pub async fn probe_path<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     path: &LayerPath,
-    stood: Duration,
+    silent_for: Duration,
 ) -> Vec<(EndpointId, Probe)> {
-    let since = evidence_since(Instant::now(), stood);
-    let heard = gateway.heard.engines_since(since);
+    let since = evidence_since(Instant::now(), silent_for);
+    let confirmed = gateway.heard.engines_since(since);
     let mut probes: Vec<(EndpointId, Probe)> = Vec::new();
-    let mut asked = Vec::new();
+    let mut pending = Vec::new();
     for part in path.parts() {
-        if heard.contains(&part.endpoint) || gateway.book.answered_since(&part.endpoint, since) {
+        if confirmed.contains(&part.endpoint) || gateway.book.answered_since(&part.endpoint, since)
+        {
             probes.push((part.endpoint.clone(), Probe::Answered));
         } else {
             let call = probe_once(gateway.clone(), part.endpoint.clone(), part.address);
-            asked.push((part.endpoint.clone(), gateway.executor.spawn(call)));
+            pending.push((part.endpoint.clone(), gateway.executor.spawn(call)));
         }
     }
-    for (endpoint, call) in asked {
+    for (endpoint, call) in pending {
         let probe = call.await;
         if probe == Probe::Answered {
             gateway.book.on_answer(&endpoint, Instant::now());
@@ -136,7 +137,7 @@
     address: SocketAddr,
 ) -> Probe {
     let began = Instant::now();
-    match gateway.engine_calls.call(address, W::report_call(), PROBE_LIMIT).await {
+    match gateway.engine_calls.call(address, W::report_call(), PROBE_TIMEOUT).await {
         Ok(reply) => {
             if let Ok(report) = W::read_report(&reply.body) {
                 gateway.hear_life(&endpoint, report.born_ms);
@@ -147,7 +148,7 @@
                 false => Probe::Answered,
             }
         }
-        Err(_) if began.elapsed() >= PROBE_LIMIT => Probe::Silent,
+        Err(_) if began.elapsed() >= PROBE_TIMEOUT => Probe::Silent,
         Err(error) => {
             tracing::debug!(endpoint = %address, %error, "endpoint: Refused a probe.");
             Probe::Refused
@@ -164,15 +165,18 @@
                 directory.get(&id).filter(|record| record.accelerator.is_some()).cloned()
             });
             if let Some(engine) = engine {
-                gateway.executor.spawn(probe(gateway.clone(), engine)).detach();
+                gateway.executor.spawn(probe_ejected_engine(gateway.clone(), engine)).detach();
             }
         }
     }
 }
 
-async fn probe<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>, engine: EndpointRecord) {
+async fn probe_ejected_engine<W: Wire, S: MetadataStore>(
+    gateway: Rc<Gateway<W, S>>,
+    engine: EndpointRecord,
+) {
     let began = Instant::now();
-    let call = gateway.engine_calls.call(engine.address, W::report_call(), REPORT_LIMIT);
+    let call = gateway.engine_calls.call(engine.address, W::report_call(), REPORT_TIMEOUT);
     match call.await {
         Ok(_) => gateway.on_evidence(&engine.id, Evidence::Good, began, "it reports again"),
         Err(error) => {
--- a/crates/sillbank_gateway/src/ends.rs
+++ b/crates/sillbank_gateway/src/ends.rs
@@ -20,11 +20,11 @@
 
 /// Time limit of a connection check. An endpoint that has ended refuses within a millisecond; the
 /// next send of a request that lost its endpoint waits for the check.
-const LOOK_LIMIT: Duration = Duration::from_millis(100);
+const CONNECT_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Delay before the second check. An endpoint that ended is away for longer; other VMs learn of a
 /// first end later.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const RECHECK_DELAY: Duration = Duration::from_millis(100);
 
 /// A send whose connection broke before the answer was complete.
 #[derive(Debug, Clone)]
@@ -53,7 +53,7 @@
 pub struct EndedEndpoints {
     ended_at: RefCell<HashMap<EndpointId, Instant>>,
     /// Allows one check of an endpoint at a time: many requests lose it at the same moment.
-    looks: RefCell<HashMap<EndpointId, Rc<Mutex<()>>>>,
+    check_locks: RefCell<HashMap<EndpointId, Rc<Mutex<()>>>>,
 }
 
 impl EndedEndpoints {
@@ -61,14 +61,16 @@
         self.ended_at.borrow().get(endpoint).is_some_and(|at| *at >= since)
     }
 
-    fn look(&self, endpoint: &str) -> Rc<Mutex<()>> {
-        self.looks.borrow_mut().entry(endpoint.to_owned()).or_default().clone()
+    fn check_lock(&self, endpoint: &str) -> Rc<Mutex<()>> {
+        self.check_locks.borrow_mut().entry(endpoint.to_owned()).or_default().clone()
     }
 
     /// Drops endpoints that are no longer listed.
     pub fn retain(&self, is_known: impl Fn(&str) -> bool) {
         self.ended_at.borrow_mut().retain(|id, _| is_known(id));
-        self.looks.borrow_mut().retain(|id, look| Rc::strong_count(look) > 1 || is_known(id));
+        self.check_locks
+            .borrow_mut()
+            .retain(|id, check_lock| Rc::strong_count(check_lock) > 1 || is_known(id));
     }
 }
 
@@ -88,26 +90,26 @@
         gateway.on_ended_under(job, &send);
         return;
     }
-    let (there, job) = (gateway.clone(), job.clone());
-    let look_again = async move {
-        smol::Timer::after(LOOK_AGAIN).await;
-        if has_ended(&there, &send).await {
-            there.on_ended_under(&job, &send);
+    let (recheck_gateway, job) = (gateway.clone(), job.clone());
+    let recheck = async move {
+        smol::Timer::after(RECHECK_DELAY).await;
+        if has_ended(&recheck_gateway, &send).await {
+            recheck_gateway.on_ended_under(&job, &send);
         }
     };
-    gateway.executor.spawn(look_again).detach();
+    gateway.executor.spawn(recheck).detach();
 }
 
 async fn has_ended<W: Wire, S>(gateway: &Gateway<W, S>, send: &BrokenSend) -> bool {
     let (ends, endpoint) = (&gateway.ends, send.endpoint.as_str());
-    let look = ends.look(endpoint);
-    let _turn = look.lock().await;
+    let check_lock = ends.check_lock(endpoint);
+    let _guard = check_lock.lock().await;
     if ends.ended_since(endpoint, send.sent_at)
         || gateway.book.renewed_since(endpoint, send.sent_at)
     {
         return true;
     }
-    if !refuses_connections(send.address, LOOK_LIMIT).await {
+    if !refuses_connections(send.address, CONNECT_CHECK_TIMEOUT).await {
         return false;
     }
     ends.ended_at.borrow_mut().insert(endpoint.to_owned(), Instant::now());
--- a/crates/sillbank_gateway/src/events.rs
+++ b/crates/sillbank_gateway/src/events.rs
@@ -54,7 +54,7 @@
         };
         self.searched = 0;
         let bytes = self.buffer.split_to(end).freeze();
-        let number = read_number(&bytes);
+        let number = parse_number(&bytes);
         Some(WholeEvent { bytes, number })
     }
 
@@ -66,12 +66,12 @@
     fn find_end(&self) -> Option<usize> {
         let from = self.searched.min(self.buffer.len());
         let tail = &self.buffer[from..];
-        (0..tail.len()).find_map(|at| {
-            let rest = &tail[at..];
-            if rest.starts_with(END_LF) {
-                return Some(from + at + END_LF.len());
+        (0..tail.len()).find_map(|offset| {
+            let suffix = &tail[offset..];
+            if suffix.starts_with(END_LF) {
+                return Some(from + offset + END_LF.len());
             }
-            rest.starts_with(END_CRLF).then_some(from + at + END_CRLF.len())
+            suffix.starts_with(END_CRLF).then_some(from + offset + END_CRLF.len())
         })
     }
 }
@@ -79,7 +79,7 @@
 const END_LF: &[u8] = b"\n\n";
 const END_CRLF: &[u8] = b"\r\n\r\n";
 
-fn read_number(event: &[u8]) -> Option<EventNumber> {
+fn parse_number(event: &[u8]) -> Option<EventNumber> {
     event.split(|byte| *byte == b'\n').find_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/crates/sillbank_gateway/src/forecasts.rs
+++ b/crates/sillbank_gateway/src/forecasts.rs
@@ -60,14 +60,14 @@
     ) -> Option<Foretold> {
         let (hall, plain) = views.knowledge.endpoints(|directory| {
             let hall = directory.get(&path.first().endpoint)?.hall.clone();
-            let load = |part| engine_load(views, ask.figures, directory, part);
+            let load = |part| reported_load(views, ask.figures, directory, part);
             let loads: Option<Vec<EngineLoad<'_>>> = path.parts().iter().map(load).collect();
             Some((hall, forecast(ask.figures, &loads?, ask.demand)))
         })?;
-        let learnt = self.by_hall.borrow().get(&hall).copied().unwrap_or_default();
+        let correction = self.by_hall.borrow().get(&hall).copied().unwrap_or_default();
         let corrected = Predicted {
-            first_event: learnt.first_event.apply(plain.first_event),
-            pause: learnt.pause.apply(plain.pause),
+            first_event: correction.first_event.apply(plain.first_event),
+            pause: correction.pause.apply(plain.pause),
         };
         Some(Foretold { hall, sent_at: views.now, plain, corrected })
     }
@@ -100,30 +100,32 @@
         shown: &Delivery,
         is_learning: bool,
     ) -> ForecastRatios {
-        let held = foretold.sent_at.saturating_duration_since(began);
-        let first_event = shown.first().map(|first| first.saturating_sub(held));
+        let delay = foretold.sent_at.saturating_duration_since(began);
+        let first_event = shown.first().map(|first| first.saturating_sub(delay));
         let pause = Some(shown.longest_pause()).filter(|pause| !pause.is_zero());
         if is_learning {
             let mut by_hall = self.by_hall.borrow_mut();
-            let learnt = by_hall.entry(foretold.hall.clone()).or_default();
+            let correction = by_hall.entry(foretold.hall.clone()).or_default();
             if let Some(first_event) = first_event {
-                learnt.first_event.learn(foretold.plain.first_event, first_event);
+                correction.first_event.learn(foretold.plain.first_event, first_event);
             }
             if let Some(pause) = pause {
-                learnt.pause.learn(foretold.plain.pause, pause);
+                correction.pause.learn(foretold.plain.pause, pause);
             }
         }
-        let Predicted { first_event: first_foretold, pause: pause_foretold } = foretold.corrected;
+        let Predicted { first_event: expected_first_event, pause: expected_pause } =
+            foretold.corrected;
         let known = |ratio: f64| Some(ratio).filter(|ratio| ratio.is_finite());
         ForecastRatios {
-            first_event: first_event.and_then(|seen| known(seen.div_duration_f64(first_foretold))),
-            pause: pause.and_then(|seen| known(seen.div_duration_f64(pause_foretold))),
+            first_event: first_event
+                .and_then(|observed| known(observed.div_duration_f64(expected_first_event))),
+            pause: pause.and_then(|observed| known(observed.div_duration_f64(expected_pause))),
         }
     }
 }
 
 /// Load of one engine of a path as reported by its hall's leader; `None` if unknown.
-fn engine_load<'a>(
+fn reported_load<'a>(
     views: Views<'_>,
     figures: &'a EngineFigures,
     directory: &Directory,
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -13,14 +13,14 @@
 /// removes a VM after two failed checks.
 const BALANCER_LAG: Duration = Duration::from_millis(2_900);
 /// How often a stopping VM checks whether all requests have ended.
-const STOP_POLL: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time before the kill at which a stopping VM exits, whatever is still in progress.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 /// How often the settings file is checked for changes without a signal.
-const RELOAD_POLL: Duration = Duration::from_secs(3);
+const RELOAD_POLL_INTERVAL: Duration = Duration::from_secs(3);
 /// How often idle connections, lapsed entries and removed endpoints are swept; sooner when a lapsed
 /// entry is due.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Waits for the stop signal, then until all requests have ended or the grace period is over.
 pub async fn stop<W: Wire, S: MetadataStore>(
@@ -29,7 +29,7 @@
     stopper: Stopper,
 ) {
     signals.next().await;
-    let asked = Instant::now();
+    let stop_began = Instant::now();
     let grace = gateway.settings().stop_grace.saturating_sub(STOP_MARGIN);
     tracing::info!(
         in_progress = gateway.in_progress.get(),
@@ -40,12 +40,12 @@
     stopper.stop();
     smol::Timer::after(BALANCER_LAG.min(grace)).await;
     gateway.life.set(Life::Stopping);
-    while asked.elapsed() < grace && gateway.in_progress.get() > 0 {
-        smol::Timer::after(STOP_POLL).await;
+    while stop_began.elapsed() < grace && gateway.in_progress.get() > 0 {
+        smol::Timer::after(STOP_POLL_INTERVAL).await;
     }
     tracing::info!(
         in_progress = gateway.in_progress.get(),
-        after_ms = asked.elapsed().as_millis() as u64,
+        after_ms = stop_began.elapsed().as_millis() as u64,
         "program: Stopped."
     );
 }
@@ -69,12 +69,12 @@
             true
         };
         let by_time = async {
-            smol::Timer::after(RELOAD_POLL).await;
+            smol::Timer::after(RELOAD_POLL_INTERVAL).await;
             false
         };
         let signalled = futures_lite::future::or(by_signal, by_time).await;
-        let now = match std::fs::read_to_string(&path) {
-            Ok(now) => now,
+        let new_text = match std::fs::read_to_string(&path) {
+            Ok(new_text) => new_text,
             Err(error) => {
                 tracing::warn!(
                     %error,
@@ -83,14 +83,14 @@
                 continue;
             }
         };
-        if now == text && !signalled {
+        if new_text == text && !signalled {
             continue;
         }
-        let changed = now != text;
-        match settings::read_text(&path.display().to_string(), &now) {
+        let changed = new_text != text;
+        match settings::read_text(&path.display().to_string(), &new_text) {
             Ok(settings) => {
                 apply(&gateway, settings);
-                text = now;
+                text = new_text;
                 tracing::info!(signalled, changed, "program: Reloaded.");
             }
             Err(problems) => {
@@ -118,7 +118,7 @@
 /// Removes what has expired.
 pub async fn sweep<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
-        let next = Instant::now() + SWEEP;
+        let next = Instant::now() + SWEEP_INTERVAL;
         let lapse_end = gateway.knowledge.next_lapse_end();
         smol::Timer::at(lapse_end.map_or(next, |end| end.min(next))).await;
         let now = Instant::now();
--- a/crates/sillbank_gateway/src/metrics.rs
+++ b/crates/sillbank_gateway/src/metrics.rs
@@ -12,20 +12,20 @@
 use std::sync::atomic::AtomicU64;
 
 /// Upper bound of the first latency bucket, in seconds.
-const FIRST_BUCKET_S: f64 = 0.005;
+const FIRST_LATENCY_BUCKET_S: f64 = 0.005;
 /// Ratio of one latency bucket to the next.
-const BUCKET_RATIO: f64 = 2.0;
+const LATENCY_BUCKET_FACTOR: f64 = 2.0;
 /// Number of latency buckets: from 5 ms to about 20 s, the longest time limit of known sites.
-const BUCKETS: u16 = 13;
+const LATENCY_BUCKETS: u16 = 13;
 
 /// Buckets of ratios of observed to forecast times: first bound, factor to the next, and count; up
 /// to 16.
 const RATIO_BUCKETS: (f64, f64, u16) = (0.125, std::f64::consts::SQRT_2, 15);
 
 /// Creates a histogram of ratios of observed to forecast times.
-fn ratios() -> Histogram {
-    let (least, step, buckets) = RATIO_BUCKETS;
-    Histogram::new(exponential_buckets(least, step, buckets))
+fn ratio_histogram() -> Histogram {
+    let (first, factor, buckets) = RATIO_BUCKETS;
+    Histogram::new(exponential_buckets(first, factor, buckets))
 }
 
 /// Constructor of a latency histogram.
@@ -152,7 +152,13 @@
 impl Default for Metrics {
     fn default() -> Self {
         let mut registry = sillbank_net::telemetry::new_registry("gateway");
-        let buckets = || Histogram::new(exponential_buckets(FIRST_BUCKET_S, BUCKET_RATIO, BUCKETS));
+        let buckets = || {
+            Histogram::new(exponential_buckets(
+                FIRST_LATENCY_BUCKET_S,
+                LATENCY_BUCKET_FACTOR,
+                LATENCY_BUCKETS,
+            ))
+        };
         let requests = Family::default();
         let in_progress = Gauge::default();
         let sends = Family::default();
@@ -222,13 +228,13 @@
         registry.register("whole_answer_s", "Time to the whole answer", whole_answer_s.clone());
         let calls_refused = Family::default();
         registry.register("calls_refused", "Calls sent nowhere", calls_refused.clone());
-        let forecast_first_ratio = ratios();
+        let forecast_first_ratio = ratio_histogram();
         registry.register(
             "forecast_first_ratio",
             "First event seen, over foretold",
             forecast_first_ratio.clone(),
         );
-        let forecast_pause_ratio = ratios();
+        let forecast_pause_ratio = ratio_histogram();
         registry.register(
             "forecast_pause_ratio",
             "Longest pause seen, over foretold",
--- a/crates/sillbank_gateway/src/repeats.rs
+++ b/crates/sillbank_gateway/src/repeats.rs
@@ -9,10 +9,10 @@
 
 /// Assumed number of VMs that share the fleet's retry slack while the leaders of some halls have
 /// not reported theirs.
-const ASSUMED_VMS: u32 = 16;
+const ASSUMED_FLEET_VMS: u32 = 16;
 /// Shares of the fleet's retry slack reserved for VMs that leaders have not reported yet: a VM that
 /// replaces another starts before that one ends.
-const SPARE_SHARES: u32 = 1;
+const RESERVED_SHARES: u32 = 1;
 
 impl<W: Wire, S> Gateway<W, S> {
     /// Counts the first send of a service's request.
@@ -23,12 +23,12 @@
 
     /// Takes a retry from a service's budget. Returns false if the budget is used up.
     pub fn try_repeat(&self, service: &str) -> bool {
-        let fits = self.with_budget(service, |budget, now| budget.try_repeat(now));
-        match fits {
+        let is_allowed = self.with_budget(service, |budget, now| budget.try_repeat(now));
+        match is_allowed {
             true => self.metrics.sends.get_or_create(&KindLabel { kind: "repeat" }).inc(),
             false => self.metrics.repeats_denied.inc(),
         };
-        fits
+        is_allowed
     }
 
     /// Whether a request that was sent before may be sent again; if so, the retry is taken from the
@@ -40,7 +40,7 @@
     /// Upper estimate of the number of VMs in the fleet.
     fn fleet_vms(&self, now: Instant) -> u32 {
         let halls = self.knowledge.halls();
-        self.hall.boards.fleet_vms(&halls, now).unwrap_or(ASSUMED_VMS)
+        self.hall.boards.fleet_vms(&halls, now).unwrap_or(ASSUMED_FLEET_VMS)
     }
 
     fn with_budget<T>(
@@ -51,7 +51,7 @@
         let now = Instant::now();
         let mut budgets = self.budgets.borrow_mut();
         let settings = self.settings();
-        let shares = self.fleet_vms(now) + SPARE_SHARES;
+        let shares = self.fleet_vms(now) + RESERVED_SHARES;
         let limits = RetryLimits {
             window: settings.retry_window,
             ratio: settings.retry_ratio,
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -61,12 +61,12 @@
                 Err(error) => return Sent::NotSent(format!("no connection: {error}")),
             },
         };
-        let was_reused = channel.reused;
-        let kind = KindLabel { kind: if was_reused { "reused" } else { "new" } };
+        let is_reused = channel.reused;
+        let kind = KindLabel { kind: if is_reused { "reused" } else { "new" } };
         gateway.metrics.connections.get_or_create(&kind).inc();
         match exchange(gateway, job, to, resume_after, channel).await {
             // The endpoint had closed the idle connection, so nothing of the request was sent.
-            Sent::NotSent(_) if was_reused => {}
+            Sent::NotSent(_) if is_reused => {}
             sent => return sent,
         }
     }
@@ -95,16 +95,16 @@
             };
         }
     };
-    let place = match channel.reused {
+    let position = match channel.reused {
         true => ReplyPlace::AfterOthers,
         false => ReplyPlace::First,
     };
-    let read = W::read_reply(reply.status(), reply.headers(), &job.head.request_id, place);
-    if read != EndpointReply::Foreign {
+    let parsed = W::read_reply(reply.status(), reply.headers(), &job.head.request_id, position);
+    if parsed != EndpointReply::Foreign {
         let pushback = W::read_pushback(reply.status(), reply.headers());
         gateway.on_pushback(to.endpoint, pushback, sent_at);
     }
-    match read {
+    match parsed {
         EndpointReply::Success => {
             job.note_run(RunLog::ran);
             Sent::Success(reply, channel)
@@ -120,7 +120,7 @@
         EndpointReply::NotRun(refusal) => {
             job.note_run(RunLog::refused);
             let endpoint = to.endpoint.to_owned();
-            keep_after_refusal(gateway, endpoint, reply, channel).await;
+            drain_refusal(gateway, endpoint, reply, channel).await;
             Sent::NotRun(refusal)
         }
         EndpointReply::Foreign => Sent::Lost(format!(
@@ -133,7 +133,7 @@
 /// Maximum body size of a refusal that is read to keep its connection.
 const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
-async fn keep_after_refusal<W: Wire, S: MetadataStore>(
+async fn drain_refusal<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     endpoint: String,
     reply: Response<Incoming>,
@@ -177,21 +177,21 @@
     limit_bytes: usize,
     kept: &KeptBytes,
 ) -> Result<WholeReply, String> {
-    let no_memory = || "the VM keeps no more for its callers".to_owned();
-    let mut kept = kept.try_keep(0).ok_or_else(no_memory)?;
+    let out_of_memory = || "the VM keeps no more for its callers".to_owned();
+    let mut kept = kept.try_keep(0).ok_or_else(out_of_memory)?;
     let (head, body) = reply.into_parts();
     let headers = head.headers.clone();
     let mut body = Limited::new(body, limit_bytes);
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| format!("the answer broke off: {error}"))?;
         let Ok(data) = frame.into_data() else { continue };
         if !kept.try_grow(data.len()) {
-            return Err(no_memory());
+            return Err(out_of_memory());
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    let reply = Response::from_parts(head, ReplyBody::Whole(Full::new(whole.freeze())));
+    let reply = Response::from_parts(head, ReplyBody::Whole(Full::new(buffer.freeze())));
     Ok(WholeReply { reply: caller_head(reply), head: headers, kept })
 }
 
--- a/crates/sillbank_gateway/src/settings.rs
+++ b/crates/sillbank_gateway/src/settings.rs
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 /// File descriptors reserved for files, timers and the store.
-const SPARE_DESCRIPTORS: usize = 256;
+const RESERVED_DESCRIPTORS: usize = 256;
 /// File descriptors that one caller's connection may need: its own and one to an endpoint.
 const DESCRIPTORS_PER_CALLER: usize = 2;
 /// Bytes per megabyte.
-const MB: f64 = 1e6;
+const BYTES_PER_MB: f64 = 1e6;
 /// Maximum share of the process's memory buffered for callers and endpoints. Buffers may take twice
 /// their bytes while they grow, connections take about 25 KB each before anything is buffered
 /// (1,300 of them are a third of the smallest VM's 112 MB), and the rest is for the program and its
 /// state.
-const KEPT_SHARE: f64 = 0.25;
+const BUFFER_SHARE: f64 = 0.25;
 
 /// Settings of one gateway process.
 #[derive(Debug, Clone)]
@@ -66,12 +66,12 @@
 impl GatewaySettings {
     /// Maximum connections of callers.
     pub fn max_caller_connections(&self) -> usize {
-        self.max_open_files.saturating_sub(SPARE_DESCRIPTORS) / DESCRIPTORS_PER_CALLER
+        self.max_open_files.saturating_sub(RESERVED_DESCRIPTORS) / DESCRIPTORS_PER_CALLER
     }
 
     /// Maximum bytes that this process buffers for callers and endpoints.
     pub fn kept_bound_bytes(&self) -> usize {
-        (self.memory_mb * MB * KEPT_SHARE) as usize
+        (self.memory_mb * BYTES_PER_MB * BUFFER_SHARE) as usize
     }
 }
 
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -1,6 +1,6 @@
 //! Sends a stream's request once and waits for the head of the reply.
 
-use super::loss::{ActiveRoute, Loss, SilenceTimer, look_for_loss, move_request};
+use super::loss::{ActiveRoute, Loss, SilenceTimer, detect_loss, move_request};
 use super::target::Target;
 use crate::channels::Channel;
 use crate::endpoints::{Evidence, InFlight, Share};
@@ -41,7 +41,7 @@
     /// When the first event arrived from this endpoint.
     pub(super) first_event_at: Option<Instant>,
     /// Whether the request was found to have run here past its initial phase.
-    pub(super) has_passed_beginning: bool,
+    pub(super) has_passed_initial_phase: bool,
 }
 
 impl Upstream {
@@ -57,10 +57,10 @@
 
     /// Records that an event arrived. Returns true once, when the request has run here past its
     /// initial phase.
-    pub(super) fn passes_beginning(&mut self, now: Instant) -> bool {
+    pub(super) fn passes_initial_phase(&mut self, now: Instant) -> bool {
         let first = *self.first_event_at.get_or_insert(now);
         let has_passed = now.saturating_duration_since(first) >= BEGINNING;
-        has_passed && !std::mem::replace(&mut self.has_passed_beginning, true)
+        has_passed && !std::mem::replace(&mut self.has_passed_initial_phase, true)
     }
 
     pub(super) fn active_route(&self) -> ActiveRoute<'_> {
@@ -74,24 +74,24 @@
 }
 
 /// Reply of an endpoint: an open stream with its status, or the endpoint's own failure.
-pub(super) enum Begun {
+pub(super) enum UpstreamReply {
     Stream(Box<Upstream>, StatusCode),
     Failure(Response<ReplyBody>),
 }
 
 /// A send that opened no stream.
-pub(super) struct SendFailed {
+pub(super) struct FailedAttempt {
     pub(super) endpoint: EndpointId,
     pub(super) at_fault: Option<EndpointId>,
-    pub(super) left: Left,
+    pub(super) kind: Left,
     /// Whether the connection to the first endpoint ended before a reply arrived.
     pub(super) is_broken: bool,
     pub(super) reason: String,
 }
 
-pub(super) enum SendOnce {
-    Begun(Begun),
-    Ended(SendFailed),
+pub(super) enum AttemptResult {
+    Replied(UpstreamReply),
+    Failed(FailedAttempt),
 }
 
 pub(super) async fn send_once<W: Wire, S: MetadataStore>(
@@ -99,7 +99,7 @@
     job: &Rc<Job>,
     mut target: Target,
     resume_after: Option<EventNumber>,
-) -> SendOnce {
+) -> AttemptResult {
     let sent_at = Instant::now();
     let shares = match (&target.path, &job.service.engine) {
         (Some(path), Some(figures)) => shares_of(path, job.demand(figures)),
@@ -107,22 +107,22 @@
     };
     let in_flight = gateway.book.begin(shares, sent_at);
     let endpoint = target.endpoint.clone();
-    let sent_path = target.path.clone();
-    let to = Destination { endpoint: &endpoint, address: target.address, path: sent_path.as_ref() };
-    let lost = watch_for_loss(gateway, job, &mut target);
+    let path = target.path.clone();
+    let to = Destination { endpoint: &endpoint, address: target.address, path: path.as_ref() };
+    let loss_detected = watch_for_loss(gateway, job, &mut target);
     let sent =
         futures_lite::future::or(async { Ok(send(gateway, job, to, resume_after).await) }, async {
-            Err(lost.await)
+            Err(loss_detected.await)
         })
         .await;
-    let ended = |at_fault, left, reason| {
+    let failed = |at_fault, kind, reason| {
         let (endpoint, is_broken) = (endpoint.clone(), false);
-        SendOnce::Ended(SendFailed { endpoint, at_fault, left, is_broken, reason })
+        AttemptResult::Failed(FailedAttempt { endpoint, at_fault, kind, is_broken, reason })
     };
     match sent {
         Err(loss) => {
             let at_fault = loss.engines.into_iter().next();
-            ended(at_fault, Left::MayHaveRun, loss.reason)
+            failed(at_fault, Left::MayHaveRun, loss.reason)
         }
         Ok(Sent::Success(reply, channel)) => {
             gateway.on_evidence(&endpoint, Evidence::Good, sent_at, "a stream");
@@ -139,23 +139,23 @@
                 _in_flight: in_flight,
                 sent_at,
                 first_event_at: None,
-                has_passed_beginning: false,
+                has_passed_initial_phase: false,
             };
-            SendOnce::Begun(Begun::Stream(Box::new(upstream), status))
+            AttemptResult::Replied(UpstreamReply::Stream(Box::new(upstream), status))
         }
         Ok(Sent::Failure(reply, channel)) => {
             gateway.on_evidence(&endpoint, Evidence::Failed, sent_at, "a stream");
             let status = reply.status();
             if job.may_repeat() && job.may_send_again(Instant::now()) {
                 let reason = format!("the endpoint failed with status {}", status.as_u16());
-                return ended(None, Left::MayHaveRun, reason);
+                return failed(None, Left::MayHaveRun, reason);
             }
             match read_whole(reply, MAX_FAILURE_BYTES, &gateway.kept).await {
                 Ok(whole) => {
                     gateway.keep_channel(&endpoint, channel, &whole.head);
-                    SendOnce::Begun(Begun::Failure(whole.reply))
+                    AttemptResult::Replied(UpstreamReply::Failure(whole.reply))
                 }
-                Err(reason) => ended(None, Left::MayHaveRun, reason),
+                Err(reason) => failed(None, Left::MayHaveRun, reason),
             }
         }
         Ok(Sent::NotRun(refusal)) => {
@@ -170,17 +170,23 @@
             if refusal.misdirected || at_fault.is_some() {
                 gateway.on_evidence(blamed, Evidence::LacksPart, sent_at, &reason);
             }
-            let left = if refusal.misdirected { Left::Misdirected } else { Left::NotRun };
-            ended(at_fault, left, reason)
+            let kind = if refusal.misdirected { Left::Misdirected } else { Left::NotRun };
+            failed(at_fault, kind, reason)
         }
         Ok(Sent::NotSent(reason)) => {
             gateway.on_evidence(&endpoint, Evidence::Unreachable, sent_at, &reason);
-            ended(None, Left::NotSent, reason)
+            failed(None, Left::NotSent, reason)
         }
         Ok(Sent::Lost(reason)) => {
             gateway.on_evidence(&endpoint, Evidence::Failed, sent_at, &reason);
-            let (at_fault, left) = (None, Left::MayHaveRun);
-            SendOnce::Ended(SendFailed { endpoint, at_fault, left, is_broken: true, reason })
+            let (at_fault, kind) = (None, Left::MayHaveRun);
+            AttemptResult::Failed(FailedAttempt {
+                endpoint,
+                at_fault,
+                kind,
+                is_broken: true,
+                reason,
+            })
         }
     }
 }
@@ -201,7 +207,7 @@
             path: target.path.as_ref(),
             since,
         };
-        let Some(loss) = look_for_loss(gateway, job, active_route, timer.on_silence()).await else {
+        let Some(loss) = detect_loss(gateway, job, active_route, timer.on_silence()).await else {
             continue;
         };
         match move_request(gateway, job, active_route, &loss).await {
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -23,22 +23,22 @@
 /// left for the replies, the move and the recomputation of tokens. Probing this early raises the
 /// total value of served requests by 0.02 on a fleet of 6 VMs while engines fail, and by 0.06 on
 /// one of 300.
-const SHORT_SILENCE_PART: f64 = 0.5;
+const SHORT_SILENCE_SHARE: f64 = 0.5;
 /// Multiple of the usual pause after which the engines are probed, if that is sooner. Streams on
 /// fast engines have an event every 35 ms and are probed after 90 ms, which leaves time to
 /// recompute tokens.
-const USUAL_PAUSES: f64 = 2.0;
+const USUAL_PAUSE_FACTOR: f64 = 2.0;
 /// Added to the multiple of the usual pause: some pauses are longer because engines read other
 /// requests' prompts.
 const PAUSE_MARGIN: Duration = Duration::from_millis(20);
 /// Minimum silence before the engines are probed.
 const SHORT_SILENCE_MIN: Duration = Duration::from_millis(50);
 /// Weight of a new pause in the moving average.
-const NEW_PAUSE_PART: f64 = 0.2;
+const PAUSE_WEIGHT: f64 = 0.2;
 /// Shorter intervals are not pauses but parts of one event, or events that arrived together.
-const PAUSE_LEAST: Duration = Duration::from_millis(5);
+const MIN_PAUSE: Duration = Duration::from_millis(5);
 /// Time limit of a call that moves a request to another path.
-const MOVE_LIMIT: Duration = Duration::from_millis(400);
+const MOVE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a stream has been silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,29 +55,29 @@
 pub struct SilenceTimer {
     /// Upper bound of the short silence, used while no usual pause is known. [`LONG_SILENCE`] means
     /// that there is no short silence.
-    longest_first: Duration,
+    max_short_silence: Duration,
     /// Moving average of the pauses between two events.
     usual_pause: Option<Duration>,
     /// Factor on the short silence; doubled by each false alarm.
-    patience: u32,
+    backoff_factor: u32,
     /// Length of the next short silence.
-    first: Duration,
+    short_silence: Duration,
     next_is_short: bool,
     /// Part of the long silence that has already passed.
-    stood: Duration,
+    silent_for: Duration,
 }
 
 impl SilenceTimer {
     /// Creates a timer for a stream whose pauses should be no longer than `gap_objective`.
     pub fn new(gap_objective: Option<Duration>) -> Self {
-        let first = gap_objective.map_or(LONG_SILENCE, |gap| gap.mul_f64(SHORT_SILENCE_PART));
+        let first = gap_objective.map_or(LONG_SILENCE, |gap| gap.mul_f64(SHORT_SILENCE_SHARE));
         let mut timer = Self {
-            longest_first: first.clamp(SHORT_SILENCE_MIN, LONG_SILENCE),
+            max_short_silence: first.clamp(SHORT_SILENCE_MIN, LONG_SILENCE),
             usual_pause: None,
-            patience: 1,
-            first: LONG_SILENCE,
+            backoff_factor: 1,
+            short_silence: LONG_SILENCE,
             next_is_short: false,
-            stood: Duration::ZERO,
+            silent_for: Duration::ZERO,
         };
         timer.begin();
         timer
@@ -85,9 +85,9 @@
 
     /// Records that data arrived, `pause` after the data before.
     pub fn on_heard(&mut self, pause: Duration) {
-        if pause >= PAUSE_LEAST {
+        if pause >= MIN_PAUSE {
             let usual = self.usual_pause.unwrap_or(pause);
-            let usual = usual.mul_f64(1.0 - NEW_PAUSE_PART) + pause.mul_f64(NEW_PAUSE_PART);
+            let usual = usual.mul_f64(1.0 - PAUSE_WEIGHT) + pause.mul_f64(PAUSE_WEIGHT);
             self.usual_pause = Some(usual);
         }
         self.begin();
@@ -95,35 +95,36 @@
 
     /// Starts a new silence.
     fn begin(&mut self) {
-        let by_pauses = self.usual_pause.map(|usual| usual.mul_f64(USUAL_PAUSES) + PAUSE_MARGIN);
-        let first = by_pauses.map_or(self.longest_first, |first| {
-            first.clamp(SHORT_SILENCE_MIN.min(self.longest_first), self.longest_first)
+        let by_pauses =
+            self.usual_pause.map(|usual| usual.mul_f64(USUAL_PAUSE_FACTOR) + PAUSE_MARGIN);
+        let first = by_pauses.map_or(self.max_short_silence, |first| {
+            first.clamp(SHORT_SILENCE_MIN.min(self.max_short_silence), self.max_short_silence)
         });
-        self.first = (first * self.patience).min(LONG_SILENCE);
-        self.stood = Duration::ZERO;
-        self.next_is_short = self.first < LONG_SILENCE;
+        self.short_silence = (first * self.backoff_factor).min(LONG_SILENCE);
+        self.silent_for = Duration::ZERO;
+        self.next_is_short = self.short_silence < LONG_SILENCE;
     }
 
     /// A check after a short silence found no loss, so this stream's pauses are long: the next
     /// short silence is twice as long. Without this, VMs probed engines 140,000 times in a minute
     /// in which engines were slow.
     pub fn on_false_alarm(&mut self) {
-        self.patience = self.patience.saturating_mul(2);
+        self.backoff_factor = self.backoff_factor.saturating_mul(2);
     }
 
     /// Time until the next check is due.
     pub fn wait(&self) -> Duration {
         match self.next_is_short {
-            true => self.first,
-            false => LONG_SILENCE.saturating_sub(self.stood),
+            true => self.short_silence,
+            false => LONG_SILENCE.saturating_sub(self.silent_for),
         }
     }
 
     /// The wait is over; returns how long the stream has been silent.
     pub fn on_silence(&mut self) -> Silence {
         let is_short = std::mem::take(&mut self.next_is_short);
-        self.stood = if is_short { self.first } else { Duration::ZERO };
-        if is_short { Silence::Short(self.first) } else { Silence::Long }
+        self.silent_for = if is_short { self.short_silence } else { Duration::ZERO };
+        if is_short { Silence::Short(self.short_silence) } else { Silence::Long }
     }
 }
 
@@ -139,7 +140,7 @@
 }
 
 impl Loss {
-    fn of(engine: &str, reason: &str) -> Self {
+    fn of_engine(engine: &str, reason: &str) -> Self {
         Self { engines: vec![engine.to_owned()], reason: reason.to_owned(), is_certain: true }
     }
 }
@@ -156,27 +157,27 @@
 
 /// Checks whether engines of the path are lost. Engines that are ejected or have restarted count at
 /// once.
-pub(super) async fn look_for_loss<W: Wire, S: MetadataStore>(
+pub(super) async fn detect_loss<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     active_route: ActiveRoute<'_>,
     silence: Silence,
 ) -> Option<Loss> {
-    let known = active_route
+    let ejected = active_route
         .path
-        .map_or_else(Vec::new, |path| left_alone(gateway, path, active_route.since));
-    if !known.is_empty() {
+        .map_or_else(Vec::new, |path| ejected_or_restarted(gateway, path, active_route.since));
+    if !ejected.is_empty() {
         let reason = "a part of the path is left alone".to_owned();
-        return Some(Loss { engines: known, reason, is_certain: silence == Silence::Long });
+        return Some(Loss { engines: ejected, reason, is_certain: silence == Silence::Long });
     }
     match (silence, active_route.path) {
-        (Silence::Short(stood), Some(path)) => probe_parts(gateway, path, stood).await,
+        (Silence::Short(silent_for), Some(path)) => probe_engines(gateway, path, silent_for).await,
         (Silence::Short(_), None) => None,
-        (Silence::Long, _) => ask_first(gateway, job, active_route).await,
+        (Silence::Long, _) => ask_first_endpoint(gateway, job, active_route).await,
     }
 }
 
-fn left_alone<W: Wire, S: MetadataStore>(
+fn ejected_or_restarted<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     path: &LayerPath,
     since: Instant,
@@ -190,13 +191,13 @@
 
 /// Probes all engines of a path. An engine that is leaving accepts no calls but finishes its
 /// requests, so its silence does not count.
-async fn probe_parts<W: Wire, S: MetadataStore>(
+async fn probe_engines<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     path: &LayerPath,
-    stood: Duration,
+    silent_for: Duration,
 ) -> Option<Loss> {
     let began = Instant::now();
-    let mut lost = probe_path(gateway, path, stood).await;
+    let mut lost = probe_path(gateway, path, silent_for).await;
     lost.retain(|(id, _)| silence_means_loss(standing(gateway, id)));
     if lost.is_empty() {
         return None;
@@ -211,7 +212,7 @@
 }
 
 /// Asks the first endpoint what the request waits for.
-async fn ask_first<W: Wire, S: MetadataStore>(
+async fn ask_first_endpoint<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     active_route: ActiveRoute<'_>,
@@ -223,13 +224,13 @@
         Diagnosis::Silent(_) if !silence_means_loss(standing(gateway, first)) => None,
         Diagnosis::Silent(reason) => {
             gateway.on_evidence(first, Evidence::Unreachable, began, &reason);
-            Some(Loss::of(first, &reason))
+            Some(Loss::of_engine(first, &reason))
         }
         Diagnosis::WaitsFor(address) => {
             let part = active_route.path.and_then(|path| path.at(address))?;
             let reason = "the first endpoint waits for it";
             gateway.on_evidence(&part.endpoint, Evidence::Unreachable, began, reason);
-            Some(Loss::of(&part.endpoint, reason))
+            Some(Loss::of_engine(&part.endpoint, reason))
         }
     }
 }
@@ -245,22 +246,22 @@
     if !gateway.settings().mechanisms.moves {
         return None;
     }
-    let mended = mended_path(gateway, job, active_route.path?, &loss.engines)?;
-    let call = W::move_call(&job.head.request_id, &mended);
-    let ended = gateway.engine_calls.call(active_route.address, call, MOVE_LIMIT).await;
-    let end = match &ended {
+    let repaired = repaired_path(gateway, job, active_route.path?, &loss.engines)?;
+    let call = W::move_call(&job.head.request_id, &repaired);
+    let reply = gateway.engine_calls.call(active_route.address, call, MOVE_TIMEOUT).await;
+    let end = match &reply {
         Ok(reply) => W::read_order_end(reply.status),
         Err(_) => OrderEnd::Refused,
     };
     let is_moved = matches!(end, OrderEnd::Begun | OrderEnd::Done);
     gateway.metrics.moves.get_or_create(&KindLabel { kind: end.name() }).inc();
     let stamp = gateway.knowledge.stamp(Instant::now());
-    gateway.decisions.moved(job, &loss.engines, &mended, end, stamp);
-    is_moved.then_some(mended)
+    gateway.decisions.moved(job, &loss.engines, &repaired, end, stamp);
+    is_moved.then_some(repaired)
 }
 
 /// Returns the path with each lost part given to other engines.
-fn mended_path<W: Wire, S: MetadataStore>(
+fn repaired_path<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
     path: &LayerPath,
--- a/crates/sillbank_gateway/src/streams/mod.rs
+++ b/crates/sillbank_gateway/src/streams/mod.rs
@@ -2,10 +2,10 @@
 //! breaks.
 
 mod attempt;
-mod begin;
 mod heard;
 mod loss;
-mod pump;
+mod open;
+mod relay;
 mod target;
 
 pub use heard::{HeardStream, HeardStreams};
@@ -18,10 +18,10 @@
 use crate::sending::caller_head;
 use crate::store::MetadataStore;
 use crate::wire::Wire;
-use attempt::Begun;
-use begin::begin;
+use attempt::UpstreamReply;
 use hyper::Response;
-use pump::Pump;
+use open::open_stream;
+use relay::StreamRelay;
 use sillbank_catalog::prelude::*;
 use sillbank_net::prelude::*;
 use std::rc::Rc;
@@ -32,50 +32,50 @@
     job: &Rc<Job>,
     rules: StreamRules,
 ) -> Response<ReplyBody> {
-    let mut watch = StreamWatch::new(gateway, job);
-    let late = async {
+    let mut guard = StreamGuard::new(gateway, job);
+    let timeout = async {
         smol::Timer::at(job.deadline).await;
         Err(out_of_time(job.run.get()))
     };
-    match futures_lite::future::or(begin(gateway, job, None, Vec::new()), late).await {
-        Ok(Begun::Stream(upstream, status)) => {
+    match futures_lite::future::or(open_stream(gateway, job, None, Vec::new()), timeout).await {
+        Ok(UpstreamReply::Stream(upstream, status)) => {
             gateway.on_first_answer(job);
             let (outbox, body) = Outbox::new();
             let mut reply = Response::new(ReplyBody::Stream(body));
             *reply.status_mut() = status;
             *reply.headers_mut() = upstream.head.clone();
-            let pump = Pump {
+            let relay = StreamRelay {
                 gateway: gateway.clone(),
                 job: job.clone(),
                 rules,
                 outbox,
-                held: None,
-                last: job.head.resume_after,
+                partial_event_memory: None,
+                last_number: job.head.resume_after,
                 events: 0,
             };
-            gateway.executor.spawn(pump.run(*upstream, watch)).detach();
+            gateway.executor.spawn(relay.run(*upstream, guard)).detach();
             caller_head(reply)
         }
-        Ok(Begun::Failure(reply)) => {
-            watch.end(Outcome::Answered, reply.status().as_u16(), 0, "the endpoint's own failure");
+        Ok(UpstreamReply::Failure(reply)) => {
+            guard.end(Outcome::Answered, reply.status().as_u16(), 0, "the endpoint's own failure");
             reply
         }
         Err(failure) => {
             let status = failure.kind.http_status();
-            watch.end(outcome_of(&failure), status, 0, &failure.reason);
+            guard.end(outcome_of(&failure), status, 0, &failure.reason);
             reply_of::<W>(&failure)
         }
     }
 }
 
 /// Logs how a stream ended. If it is dropped before an end was recorded, the caller left.
-struct StreamWatch<W: Wire, S: MetadataStore> {
+struct StreamGuard<W: Wire, S: MetadataStore> {
     gateway: Rc<Gateway<W, S>>,
     job: Rc<Job>,
     ended: bool,
 }
 
-impl<W: Wire, S: MetadataStore> StreamWatch<W, S> {
+impl<W: Wire, S: MetadataStore> StreamGuard<W, S> {
     fn new(gateway: &Rc<Gateway<W, S>>, job: &Rc<Job>) -> Self {
         gateway.in_progress.set(gateway.in_progress.get() + 1);
         Self { gateway: gateway.clone(), job: job.clone(), ended: false }
@@ -87,7 +87,7 @@
     }
 }
 
-impl<W: Wire, S: MetadataStore> Drop for StreamWatch<W, S> {
+impl<W: Wire, S: MetadataStore> Drop for StreamGuard<W, S> {
     fn drop(&mut self) {
         self.gateway.in_progress.set(self.gateway.in_progress.get() - 1);
         if !self.ended {
--- a/crates/sillbank_gateway/src/streams/begin.rs
+++ b/crates/sillbank_gateway/src/streams/open.rs
@@ -1,6 +1,6 @@
 //! Opens a stream: sends its request until an endpoint accepts it.
 
-use super::attempt::{Begun, SendOnce, send_once};
+use super::attempt::{AttemptResult, UpstreamReply, send_once};
 use super::target::{NoTarget, choose_target};
 use crate::answers::{COME_BACK_UNINFORMED, give_up, not_before};
 use crate::decisions::SendEnd;
@@ -16,41 +16,41 @@
 use std::time::{Duration, Instant};
 
 /// How often a stream that waits for a usable engine looks for one.
-const LOOK_FOR_ENGINES: Duration = Duration::from_millis(100);
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Sends a stream's request until an endpoint accepts it. Endpoints in `avoid` are not used.
-pub(super) async fn begin<W: Wire, S: MetadataStore>(
+pub(super) async fn open_stream<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     resume_after: Option<EventNumber>,
     mut avoid: Vec<EndpointId>,
-) -> Result<Begun, Failure> {
+) -> Result<UpstreamReply, Failure> {
     let mut tries = Tries::default();
     // A request that was sent before passed admission control then, even if none of its events
     // arrived.
-    let is_new = resume_after.is_none() && job.sends.get() == 0;
-    if is_new && let Err(closed) = ask_ladder(gateway, job) {
-        return Err(refuse(gateway, job, closed));
+    let is_first_send = resume_after.is_none() && job.sends.get() == 0;
+    if is_first_send && let Err(reason) = check_admission(gateway, job) {
+        return Err(refuse(gateway, job, reason));
     }
     loop {
         let target = choose_target(gateway, job, resume_after, &avoid);
-        let withheld_for = gateway.note_withheld(job);
+        let retry_after = gateway.note_withheld(job);
         let target = match target {
             Ok(target) => target,
             Err(NoTarget::Withheld) => {
                 let failure = refuse(gateway, job, NoTarget::Withheld.text());
-                return Err(not_before(failure, withheld_for));
+                return Err(not_before(failure, retry_after));
             }
             // A stream that has started waits until another engine is usable: giving up would lose
             // it, and its request is less likely to be the cause of the endpoint's end than to have
             // been there by chance.
-            Err(NoTarget::KeptApart(left)) if job.run.get().not_run_evidence().is_none() => {
-                smol::Timer::after(left.min(LOOK_FOR_ENGINES)).await;
+            Err(NoTarget::KeptApart(remaining)) if job.run.get().not_run_evidence().is_none() => {
+                smol::Timer::after(remaining.min(ENGINE_POLL_INTERVAL)).await;
                 continue;
             }
-            Err(NoTarget::KeptApart(left)) => {
-                let failure = refuse(gateway, job, NoTarget::KeptApart(left).text());
-                return Err(not_before(failure, Some(left)));
+            Err(NoTarget::KeptApart(remaining)) => {
+                let failure = refuse(gateway, job, NoTarget::KeptApart(remaining).text());
+                return Err(not_before(failure, Some(remaining)));
             }
             Err(reason) => {
                 return Err(refuse(gateway, job, reason.text()));
@@ -62,40 +62,40 @@
         let stamp = gateway.knowledge.stamp(sent_at);
         let address = target.address;
         gateway.decisions.sent(job, &target.endpoint, target.path.as_ref(), resume_after, stamp);
-        let end = match send_once(gateway, job, target, resume_after).await {
-            SendOnce::Begun(begun) => {
+        let failed = match send_once(gateway, job, target, resume_after).await {
+            AttemptResult::Replied(reply) => {
                 gateway.on_let_in(job);
-                return Ok(begun);
+                return Ok(reply);
             }
-            SendOnce::Ended(end) => end,
+            AttemptResult::Failed(failed) => failed,
         };
         gateway.decisions.send_failed(
             job,
             &SendEnd {
-                endpoint: &end.endpoint,
-                at_fault: end.at_fault.as_deref(),
+                endpoint: &failed.endpoint,
+                at_fault: failed.at_fault.as_deref(),
                 run: job.run.get().state(),
-                reason: &end.reason,
+                reason: &failed.reason,
                 after: sent_at.elapsed(),
             },
         );
-        if end.is_broken {
-            let endpoint = end.endpoint.clone();
+        if failed.is_broken {
+            let endpoint = failed.endpoint.clone();
             let broke_at = Instant::now();
             let send = BrokenSend { endpoint, address, sent_at, broke_at, first_event_at: None };
             on_broken_send(gateway, job, send).await;
         }
-        avoid.push(end.at_fault.unwrap_or(end.endpoint));
-        let goes_on = tries.goes_on(gateway, job, end.left);
-        if !goes_on {
-            return Err(refuse(gateway, job, &end.reason));
+        avoid.push(failed.at_fault.unwrap_or(failed.endpoint));
+        let may_retry = tries.may_retry(gateway, job, failed.kind);
+        if !may_retry {
+            return Err(refuse(gateway, job, &failed.reason));
         }
     }
 }
 
 /// Asks admission control whether there is room for the request's rank. The error is the reason for
 /// refusal.
-fn ask_ladder<W: Wire, S: MetadataStore>(
+fn check_admission<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
 ) -> Result<(), &'static str> {
@@ -119,7 +119,7 @@
     if let Some(believed) = gateway.load.believed(&job.service.name) {
         metrics.show(&job.service.name, believed);
     }
-    admitted.map_err(|closed| match closed.is_late {
+    admitted.map_err(|refusal| match refusal.is_late {
         true => "no room for its rank, and it comes too late to be in time",
         false => "no room for its rank",
     })
--- a/crates/sillbank_gateway/src/streams/pump.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -1,9 +1,9 @@
 //! Relays a stream's events, and resumes the stream elsewhere when its endpoint is lost.
 
-use super::StreamWatch;
-use super::attempt::{Begun, Upstream};
-use super::begin::begin;
-use super::loss::{Loss, Silence, SilenceTimer, look_for_loss, move_request};
+use super::StreamGuard;
+use super::attempt::{Upstream, UpstreamReply};
+use super::loss::{Loss, Silence, SilenceTimer, detect_loss, move_request};
+use super::open::open_stream;
 use crate::decisions::{Outcome, SendEnd};
 use crate::ends::on_broken_send;
 use crate::events::EventSplitter;
@@ -20,23 +20,23 @@
 use std::time::Instant;
 
 /// Bytes buffered for a slow caller above which reading from the endpoint stops.
-const MAX_WAITING_BYTES: usize = 64 << 10;
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
 /// Relays events from endpoints to one caller.
-pub(super) struct Pump<W: Wire, S: MetadataStore> {
+pub(super) struct StreamRelay<W: Wire, S: MetadataStore> {
     pub(super) gateway: Rc<Gateway<W, S>>,
     pub(super) job: Rc<Job>,
     pub(super) rules: StreamRules,
     pub(super) outbox: Outbox,
     /// Memory budget taken by an incomplete event.
-    pub(super) held: Option<KeptShare>,
+    pub(super) partial_event_memory: Option<KeptShare>,
     /// Number of the last event that was sent to the caller.
-    pub(super) last: Option<EventNumber>,
+    pub(super) last_number: Option<EventNumber>,
     pub(super) events: u64,
 }
 
 /// How the part of a stream that one endpoint sent ended.
-enum PartEnd {
+enum SegmentEnd {
     /// The stream is complete.
     Whole,
     /// The stream broke: the endpoint at fault if it is not the first one, and the reason.
@@ -44,7 +44,7 @@
 }
 
 /// Result of a check of a silent stream.
-enum Found {
+enum LossCheck {
     /// No engine was found lost.
     Nothing,
     /// An engine is lost; the stream was moved, or may continue where it is.
@@ -53,42 +53,44 @@
     End(Loss),
 }
 
-impl<W: Wire, S: MetadataStore> Pump<W, S> {
-    pub(super) async fn run(mut self, upstream: Upstream, mut watch: StreamWatch<W, S>) {
+impl<W: Wire, S: MetadataStore> StreamRelay<W, S> {
+    pub(super) async fn run(mut self, upstream: Upstream, mut guard: StreamGuard<W, S>) {
         let outbox = self.outbox.clone();
         let deadline = self.job.deadline;
-        let gone = async {
+        let caller_gone = async {
             std::future::poll_fn(|context| outbox.poll_gone(context)).await;
             match outbox.reader_cut() {
                 true => (Outcome::BrokenOff, "the caller read nothing for too long".to_owned()),
                 false => (Outcome::CallerLeft, "the caller left".to_owned()),
             }
         };
-        let late = async {
+        let past_deadline = async {
             smol::Timer::at(deadline).await;
             (Outcome::BrokenOff, "the deadline passed".to_owned())
         };
         let relay = self.relay(upstream);
-        let ending = futures_lite::future::or(relay, futures_lite::future::or(gone, late)).await;
-        let (outcome, reason) = ending;
+        let end =
+            futures_lite::future::or(relay, futures_lite::future::or(caller_gone, past_deadline))
+                .await;
+        let (outcome, reason) = end;
         if outcome == Outcome::Answered {
             self.outbox.close();
         } else {
             self.outbox.break_off();
         }
-        watch.end(outcome, StatusCode::OK.as_u16(), self.events, &reason);
+        guard.end(outcome, StatusCode::OK.as_u16(), self.events, &reason);
     }
 
     async fn relay(&mut self, mut upstream: Upstream) -> (Outcome, String) {
         loop {
-            let (at_fault, reason) = match self.relay_part(&mut upstream).await {
-                PartEnd::Whole => {
+            let (at_fault, reason) = match self.relay_segment(&mut upstream).await {
+                SegmentEnd::Complete => {
                     self.gateway.on_ran_well(&self.job);
                     let Upstream { channel, endpoint, head, .. } = upstream;
                     self.gateway.keep_channel(&endpoint, channel, &head);
                     return (Outcome::Answered, String::new());
                 }
-                PartEnd::Broken(at_fault, reason) => (at_fault, reason),
+                SegmentEnd::Broken(at_fault, reason) => (at_fault, reason),
             };
             self.gateway.decisions.send_failed(
                 &self.job,
@@ -106,7 +108,7 @@
             let avoid = vec![at_fault.unwrap_or_else(|| upstream.endpoint.clone())];
             drop(upstream);
             match self.resume(avoid).await {
-                Some(next) => upstream = next,
+                Some(resumed) => upstream = resumed,
                 None => return (Outcome::BrokenOff, reason),
             }
         }
@@ -118,94 +120,93 @@
         if is_held_back || !self.rules.resumable || !self.gateway.may_send_again(&self.job) {
             return None;
         }
-        match begin(&self.gateway, &self.job, self.last, avoid).await {
-            Ok(Begun::Stream(upstream, _)) => {
+        match open_stream(&self.gateway, &self.job, self.last_number, avoid).await {
+            Ok(UpstreamReply::Stream(upstream, _)) => {
                 self.gateway.metrics.resumes.inc();
                 Some(*upstream)
             }
-            Ok(Begun::Failure(_)) | Err(_) => None,
+            Ok(UpstreamReply::Failure(_)) | Err(_) => None,
         }
     }
 
-    async fn relay_part(&mut self, upstream: &mut Upstream) -> PartEnd {
-        let heard =
+    async fn relay_segment(&mut self, upstream: &mut Upstream) -> SegmentEnd {
+        let activity =
             upstream.path.as_ref().map(|path| self.gateway.heard.begin(path, Instant::now()));
         let mut timer = SilenceTimer::new(self.rules.gap_objective);
-        let mut silence = smol::Timer::after(timer.wait());
-        let mut heard_at = Instant::now();
+        let mut check_timer = smol::Timer::after(timer.wait());
+        let mut last_data_at = Instant::now();
         loop {
             let next = async { Some(upstream.body.frame().await) };
-            let silent = async {
-                (&mut silence).await;
+            let timeout = async {
+                (&mut check_timer).await;
                 None
             };
-            let Some(frame) = futures_lite::future::or(next, silent).await else {
-                let silence_now = timer.on_silence();
-                match self.move_around_loss(upstream, silence_now).await {
-                    Found::Nothing if silence_now != Silence::Long => timer.on_false_alarm(),
-                    Found::Nothing | Found::Loss => {}
-                    Found::End(loss) => {
-                        return PartEnd::Broken(loss.engines.into_iter().next(), loss.reason);
+            let Some(frame) = futures_lite::future::or(next, timeout).await else {
+                let silence = timer.on_silence();
+                match self.move_around_loss(upstream, silence).await {
+                    LossCheck::NoLoss if silence != Silence::Long => timer.on_false_alarm(),
+                    LossCheck::NoLoss | LossCheck::Recoverable => {}
+                    LossCheck::Fatal(loss) => {
+                        return SegmentEnd::Broken(loss.engines.into_iter().next(), loss.reason);
                     }
                 }
-                if let (Some(heard), Some(path)) = (&heard, &upstream.path) {
-                    heard.on_moved(path);
+                if let (Some(activity), Some(path)) = (&activity, &upstream.path) {
+                    activity.on_moved(path);
                 }
-                silence.set_after(timer.wait());
+                check_timer.set_after(timer.wait());
                 continue;
             };
             let now = Instant::now();
-            timer.on_heard(now.saturating_duration_since(heard_at));
-            heard_at = now;
-            if let Some(heard) = &heard {
-                heard.on_event(now);
+            timer.on_heard(now.saturating_duration_since(last_data_at));
+            last_data_at = now;
+            if let Some(activity) = &activity {
+                activity.on_event(now);
             }
-            silence.set_after(timer.wait());
+            check_timer.set_after(timer.wait());
             match frame {
                 None if upstream.splitter.holds_part() => {
-                    return PartEnd::Broken(None, "the stream ended within an event".to_owned());
+                    return SegmentEnd::Broken(None, "the stream ended within an event".to_owned());
                 }
-                None => return PartEnd::Whole,
+                None => return SegmentEnd::Complete,
                 Some(Err(error)) => {
-                    return PartEnd::Broken(None, format!("the stream broke: {error}"));
+                    return SegmentEnd::Broken(None, format!("the stream broke: {error}"));
                 }
                 Some(Ok(frame)) => {
-                    if upstream.passes_beginning(now) {
+                    if upstream.passes_initial_phase(now) {
                         self.gateway.on_ran_well(&self.job);
                     }
                     if let Some(data) = frame.data_ref()
                         && let Err(reason) = self.relay_bytes(&mut upstream.splitter, data)
                     {
-                        return PartEnd::Broken(None, reason);
+                        return SegmentEnd::Broken(None, reason);
                     }
                 }
             }
-            if self.outbox.waiting_bytes() > MAX_WAITING_BYTES {
-                self.outbox.drained_to(MAX_WAITING_BYTES / 2).await;
+            if self.outbox.waiting_bytes() > MAX_BUFFERED_BYTES {
+                self.outbox.drained_to(MAX_BUFFERED_BYTES / 2).await;
                 // Reading from the endpoint was suspended, so this time is not a pause of the
                 // endpoint.
-                heard_at = Instant::now();
-                silence.set_after(timer.wait());
+                last_data_at = Instant::now();
+                check_timer.set_after(timer.wait());
             }
         }
     }
 
     /// Checks for lost engines and moves the stream around them.
-    async fn move_around_loss(&self, upstream: &mut Upstream, silence: Silence) -> Found {
+    async fn move_around_loss(&self, upstream: &mut Upstream, silence: Silence) -> LossCheck {
         let active_route = upstream.active_route();
-        let Some(loss) = look_for_loss(&self.gateway, &self.job, active_route, silence).await
-        else {
-            return Found::Nothing;
+        let Some(loss) = detect_loss(&self.gateway, &self.job, active_route, silence).await else {
+            return LossCheck::NoLoss;
         };
         match move_request(&self.gateway, &self.job, active_route, &loss).await {
             Some(path) => {
                 self.job.delivery.on_moved();
                 upstream.path = Some(path);
                 upstream.sent_at = Instant::now();
-                Found::Loss
+                LossCheck::Recoverable
             }
-            None if loss.is_certain => Found::End(loss),
-            None => Found::Loss,
+            None if loss.is_certain => LossCheck::Fatal(loss),
+            None => LossCheck::Recoverable,
         }
     }
 
@@ -213,32 +214,32 @@
     fn relay_bytes(&mut self, splitter: &mut EventSplitter, data: &[u8]) -> Result<(), String> {
         splitter.push(data).map_err(|error| error.to_string())?;
         while let Some(event) = splitter.next_event() {
-            if let (Some(last), Some(number)) = (self.last, event.number) {
-                if number <= last {
+            if let (Some(last_number), Some(number)) = (self.last_number, event.number) {
+                if number <= last_number {
                     continue;
                 }
-                if number > last + 1 {
-                    return Err(format!("event {number} came after event {last}"));
+                if number > last_number + 1 {
+                    return Err(format!("event {number} came after event {last_number}"));
                 }
             }
-            self.last = event.number.or(self.last);
+            self.last_number = event.number.or(self.last_number);
             self.events += 1;
             self.job.delivery.on_event(self.job.began, Instant::now());
             self.outbox.write(&event.bytes);
         }
-        self.hold(splitter.held_bytes())
+        self.reserve_partial_event(splitter.held_bytes())
     }
 
     /// Charges the bytes of an incomplete event to the VM's memory budget.
-    fn hold(&mut self, bytes: usize) -> Result<(), String> {
-        let Some(held) = &mut self.held else {
-            self.held = self.gateway.kept.try_keep(bytes);
-            return self.held.as_ref().map(|_| ()).ok_or_else(no_memory);
+    fn reserve_partial_event(&mut self, bytes: usize) -> Result<(), String> {
+        let Some(partial_event_memory) = &mut self.partial_event_memory else {
+            self.partial_event_memory = self.gateway.kept.try_keep(bytes);
+            return self.partial_event_memory.as_ref().map(|_| ()).ok_or_else(out_of_memory);
         };
-        held.try_resize(bytes).then_some(()).ok_or_else(no_memory)
+        partial_event_memory.try_resize(bytes).then_some(()).ok_or_else(out_of_memory)
     }
 }
 
-fn no_memory() -> String {
+fn out_of_memory() -> String {
     "no memory left to buffer an incomplete event".to_owned()
 }
--- a/crates/sillbank_gateway/src/streams/target.rs
+++ b/crates/sillbank_gateway/src/streams/target.rs
@@ -61,24 +61,24 @@
     let ask = path_ask(job, figures, &home, avoid);
     let mut avoid = avoid.to_vec();
     if let Some(left) = gateway.kept_apart_for(job) {
-        let mut firsts = first_engines(views, ask);
+        let mut candidates = first_engines(views, ask);
         // An endpoint that the request has tried counts again once it has restarted.
-        let is_back = |first: &str| gateway.book.renewed_since(first, job.began);
-        firsts.retain(|first| !avoid.contains(first) || is_back(first));
-        let Some(risked) = risked_engine(&firsts, &avoid) else {
+        let has_restarted = |first: &str| gateway.book.renewed_since(first, job.began);
+        candidates.retain(|first| !avoid.contains(first) || has_restarted(first));
+        let Some(risked) = risked_engine(&candidates, &avoid) else {
             return Err(NoTarget::KeptApart(left));
         };
-        avoid.extend(firsts.iter().filter(|first| *first != risked).cloned());
+        avoid.extend(candidates.iter().filter(|first| *first != risked).cloned());
     }
     let ask = PathAsk { avoid: &avoid, ..ask };
     if let Some(path) = choose_path(views, ask) {
         if views.mechanisms.forecasts {
             job.foretold.get_or_init(|| gateway.forecasts.foretell(views, ask, &path));
         }
-        return Ok(Target::on(path));
+        return Ok(Target::from_path(path));
     }
     match choose_any_path(views, ask) {
-        Some(path) if resume_after.is_some() => Ok(Target::on(path)),
+        Some(path) if resume_after.is_some() => Ok(Target::from_path(path)),
         Some(_) => Err(NoTarget::NoRoom),
         None if has_withheld_path(views, ask) => Err(NoTarget::Withheld),
         None => Err(NoTarget::NoPath),
@@ -86,7 +86,7 @@
 }
 
 impl Target {
-    fn on(path: LayerPath) -> Self {
+    fn from_path(path: LayerPath) -> Self {
         let first = path.first();
         Self { endpoint: first.endpoint.clone(), address: first.address, path: Some(path) }
     }
@@ -103,15 +103,16 @@
     let views = gateway.views(now);
     gateway.knowledge.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
-        let fits = usable.filter(|r| !avoid.contains(&r.id) && gateway.book.takes_work(&r.id, now));
-        let fits: Vec<_> = fits.collect();
-        let may_send = fits.iter().filter(|r| views.may_send(&r.id));
+        let available =
+            usable.filter(|r| !avoid.contains(&r.id) && gateway.book.takes_work(&r.id, now));
+        let available: Vec<_> = available.collect();
+        let may_send = available.iter().filter(|r| views.may_send(&r.id));
         let best = may_send.min_by_key(|r| (gateway.book.in_flight(&r.id), r.hall != home));
         match best {
             Some(best) => {
                 Ok(Target { endpoint: best.id.clone(), address: best.address, path: None })
             }
-            None if fits.is_empty() => Err(NoTarget::NoPath),
+            None if available.is_empty() => Err(NoTarget::NoPath),
             None => Err(NoTarget::Withheld),
         }
     })
--- a/crates/sillbank_gateway/src/tries.rs
+++ b/crates/sillbank_gateway/src/tries.rs
@@ -6,11 +6,11 @@
 use crate::wire::Wire;
 
 /// Sends of a request that may fail to reach an endpoint before it is given up.
-const MAX_UNREACHED: u32 = 3;
+const MAX_UNREACHED_SENDS: u32 = 3;
 
 /// Sends of a request that may be misdirected before it is given up. The layers of engines are
 /// known again within about 0.5 s, and each such send is taken from the service's retry budget.
-const MAX_MISDIRECTED: u32 = 3;
+const MAX_MISDIRECTED_SENDS: u32 = 3;
 
 /// What is known of the request's execution after a send that brought no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,7 +53,7 @@
                 // The request reached no endpoint, so another send is no retry.
                 job.sends.set(job.sends.get() - 1);
                 self.unreached += 1;
-                self.unreached < MAX_UNREACHED
+                self.unreached < MAX_UNREACHED_SENDS
             }
             Left::Misdirected => {
                 // The endpoint could not have run the request. If this counted as one of the
@@ -61,7 +61,7 @@
                 // entries say so only later, would be broken off.
                 job.sends.set(job.sends.get() - 1);
                 self.misdirected += 1;
-                self.misdirected < MAX_MISDIRECTED && gateway.may_send_again(job)
+                self.misdirected < MAX_MISDIRECTED_SENDS && gateway.may_send_again(job)
             }
             Left::NotRun => gateway.may_send_again(job),
             Left::MayHaveRun => job.may_repeat() && gateway.may_send_again(job),
--- a/crates/sillbank_gateway/src/unreadable.rs
+++ b/crates/sillbank_gateway/src/unreadable.rs
@@ -13,26 +13,26 @@
 /// Entries that cannot be read and have been logged.
 #[derive(Debug, Default)]
 pub struct UnreadableEntries {
-    told: RefCell<BTreeMap<EndpointId, Option<u64>>>,
-    is_full: Cell<bool>,
+    logged: RefCell<BTreeMap<EndpointId, Option<u64>>>,
+    is_overflow_logged: Cell<bool>,
 }
 
 impl UnreadableEntries {
     /// Records an entry and logs it, within bounds. Returns whether this version of it is new.
     pub fn note(&self, entry: &UnreadableEntry) -> bool {
-        let mut told = self.told.borrow_mut();
-        if told.get(&entry.id) == Some(&entry.version) {
+        let mut logged = self.logged.borrow_mut();
+        if logged.get(&entry.id) == Some(&entry.version) {
             return false;
         }
-        if told.len() < MAX_TOLD || told.contains_key(&entry.id) {
-            told.insert(entry.id.clone(), entry.version);
+        if logged.len() < MAX_TOLD || logged.contains_key(&entry.id) {
+            logged.insert(entry.id.clone(), entry.version);
             tracing::warn!(
                 endpoint = entry.id,
                 version = entry.version,
                 reason = entry.reason,
                 "endpoint: The entry cannot be read; the endpoint gets no new work until it can."
             );
-        } else if !self.is_full.replace(true) {
+        } else if !self.is_overflow_logged.replace(true) {
             tracing::warn!(
                 MAX_TOLD,
                 "endpoint: More entries cannot be read; they are only counted."
@@ -44,12 +44,12 @@
     /// Drops all entries but those that still cannot be read.
     pub fn retain(&self, unreadable: &[UnreadableEntry]) {
         let ids: BTreeSet<&EndpointId> = unreadable.iter().map(|entry| &entry.id).collect();
-        self.told.borrow_mut().retain(|id, _| ids.contains(id));
-        self.is_full.set(false);
+        self.logged.borrow_mut().retain(|id, _| ids.contains(id));
+        self.is_overflow_logged.set(false);
     }
 
     /// An entry can be read again, or is gone.
     pub fn forget(&self, id: &str) {
-        self.told.borrow_mut().remove(id);
+        self.logged.borrow_mut().remove(id);
     }
 }
--- a/crates/sillbank_gateway/src/vm_limits/meter.rs
+++ b/crates/sillbank_gateway/src/vm_limits/meter.rs
@@ -5,13 +5,13 @@
 /// Share of a limit from which a VM is near it. The remaining fifth absorbs the load that arrives
 /// until others react: usage is averaged over a second, and a balancer checks readiness once a
 /// second.
-const NEAR: f64 = 0.8;
-/// Share of a limit below which a VM is no longer near it. Well below [`NEAR`], so that returning
-/// callers do not make it unready again at once.
-const CLEAR: f64 = 0.6;
+const NEAR_SHARE: f64 = 0.8;
+/// Share of a limit below which a VM is no longer near it. Well below [`NEAR_SHARE`], so that
+/// returning callers do not make it unready again at once.
+const CLEAR_SHARE: f64 = 0.6;
 /// Share of a limit from which new requests are refused. Beyond it, a link queues packets and a
 /// process is killed for its memory use, which harms running requests.
-const FULL: f64 = 0.95;
+const FULL_SHARE: f64 = 0.95;
 /// Averaging window of the link's rate.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// Weight of one timer reading in the moving average, which spans about five readings: a VM that
@@ -20,11 +20,11 @@
 /// Lag of timers at which the processor counts as used up: half of the shortest gap between events
 /// that callers ask for, 250 ms. An event passes a VM on one wake-up; the other half is the
 /// engine's.
-const LAG_LIMIT: Duration = Duration::from_millis(125);
+const MAX_TIMER_LAG: Duration = Duration::from_millis(125);
 /// Cap on a single timer reading, so that one stall is soon forgotten.
-const LAG_MOST: Duration = Duration::from_millis(250);
+const MAX_COUNTED_LAG: Duration = Duration::from_millis(250);
 /// Bits per byte; the link's rate is set in Mbit/s.
-const BYTE_BITS: f64 = 8.0;
+const BITS_PER_BYTE: f64 = 8.0;
 
 /// A resource limit of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -146,17 +146,17 @@
     /// Takes a reading. Returns whether the state changed.
     pub fn on_reading(&mut self, now: Instant, reading: VmReading, capacity: VmCapacity) -> bool {
         if let Some((at, last)) = self.last {
-            self.take_rate(now.saturating_duration_since(at), &last, &reading);
+            self.update_rates(now.saturating_duration_since(at), &last, &reading);
         }
         self.last = Some((now, reading));
-        let lag_s = reading.timer_lag.min(LAG_MOST).as_secs_f64();
+        let lag_s = reading.timer_lag.min(MAX_COUNTED_LAG).as_secs_f64();
         self.mean_lag_s += LAG_WEIGHT * (lag_s - self.mean_lag_s);
-        let link_bytes_per_s = capacity.link_mbps * 1e6 / BYTE_BITS;
+        let link_bytes_per_s = capacity.link_mbps * 1e6 / BITS_PER_BYTE;
         self.pressures = Pressures {
-            link: part(self.expected_rate(reading.requests), link_bytes_per_s),
-            memory: part(reading.kept_bytes as f64, capacity.kept_bytes as f64),
-            descriptors: part(reading.connections as f64, capacity.connections as f64),
-            processor: part(self.mean_lag_s, LAG_LIMIT.as_secs_f64()),
+            link: use_of(self.expected_rate(reading.requests), link_bytes_per_s),
+            memory: use_of(reading.kept_bytes as f64, capacity.kept_bytes as f64),
+            descriptors: use_of(reading.connections as f64, capacity.connections as f64),
+            processor: use_of(self.mean_lag_s, MAX_TIMER_LAG.as_secs_f64()),
         };
         let standing = self.next_standing();
         std::mem::replace(&mut self.standing, standing) != standing
@@ -172,14 +172,14 @@
         self.standing
     }
 
-    fn take_rate(&mut self, passed: Duration, last: &VmReading, reading: &VmReading) {
-        let passed_s = passed.as_secs_f64();
-        if passed_s <= 0.0 {
+    fn update_rates(&mut self, elapsed: Duration, last: &VmReading, reading: &VmReading) {
+        let elapsed_s = elapsed.as_secs_f64();
+        if elapsed_s <= 0.0 {
             return;
         }
         let bytes = reading.passed_bytes.saturating_sub(last.passed_bytes) as f64;
-        let weight = 1.0 - (-passed_s / RATE_WINDOW.as_secs_f64()).exp();
-        self.rate_bytes_per_s += weight * (bytes / passed_s - self.rate_bytes_per_s);
+        let weight = 1.0 - (-elapsed_s / RATE_WINDOW.as_secs_f64()).exp();
+        self.rate_bytes_per_s += weight * (bytes / elapsed_s - self.rate_bytes_per_s);
         self.mean_requests += weight * (reading.requests as f64 - self.mean_requests);
     }
 
@@ -194,15 +194,15 @@
         let (_, worst) = self.pressures.worst();
         let of_work = self.pressures.of_work();
         match self.standing {
-            _ if of_work >= FULL => Standing::Full,
-            Standing::Full if of_work >= NEAR => Standing::Full,
-            _ if worst >= NEAR => Standing::Near,
-            Standing::Near | Standing::Full if worst >= CLEAR => Standing::Near,
+            _ if of_work >= FULL_SHARE => Standing::Full,
+            Standing::Full if of_work >= NEAR_SHARE => Standing::Full,
+            _ if worst >= NEAR_SHARE => Standing::Near,
+            Standing::Near | Standing::Full if worst >= CLEAR_SHARE => Standing::Near,
             _ => Standing::Clear,
         }
     }
 }
 
-fn part(used: f64, most: f64) -> f64 {
-    if most > 0.0 { used / most } else { 0.0 }
+fn use_of(used: f64, limit: f64) -> f64 {
+    if limit > 0.0 { used / limit } else { 0.0 }
 }
--- a/crates/sillbank_gateway/src/vm_limits/watch.rs
+++ b/crates/sillbank_gateway/src/vm_limits/watch.rs
@@ -10,12 +10,12 @@
 
 /// Interval between readings. Ten wake-ups a second cost less than one request, and a rise is seen
 /// within the half second for which a full link may queue packets.
-const READ_INTERVAL: Duration = Duration::from_millis(100);
+const READING_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Reads this VM's resource use for as long as the program runs.
 pub async fn watch_limits<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
-        let due = Instant::now() + READ_INTERVAL;
+        let due = Instant::now() + READING_INTERVAL;
         smol::Timer::at(due).await;
         let now = Instant::now();
         let reading = VmReading {
@@ -32,14 +32,14 @@
             connections: settings.max_caller_connections(),
         };
         let has_changed = gateway.limits.borrow_mut().on_reading(now, reading, capacity);
-        note(&gateway);
+        update_metrics(&gateway);
         if has_changed {
-            log_standing(&gateway, &reading);
+            log_state(&gateway, &reading);
         }
     }
 }
 
-fn note<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) {
+fn update_metrics<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) {
     for (limit, pressure) in gateway.limits.borrow().pressures().by_limit() {
         let label = LimitLabel { limit: limit.name() };
         gateway.metrics.vm_pressure.get_or_create(&label).set(pressure);
@@ -47,7 +47,7 @@
     gateway.metrics.note_kept(&gateway.kept);
 }
 
-fn log_standing<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, reading: &VmReading) {
+fn log_state<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, reading: &VmReading) {
     let limits = gateway.limits.borrow();
     let (limit, pressure) = limits.pressures().worst();
     let message = match limits.standing() {
