--- a/crates/sillbank_gateway/src/answers.rs
+++ b/crates/sillbank_gateway/src/answers.rs
@@ -12,15 +12,15 @@
 
 /// `Retry-After` of a VM that does not know enough to serve; it has asked the store or its leader
 /// again by then.
-pub const COME_BACK_UNINFORMED: Duration = Duration::from_millis(500);
+pub const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(500);
 /// `Retry-After` while no endpoint can be used: about the time until an ejection ends.
-pub const COME_BACK_NO_ENDPOINT: Duration = Duration::from_millis(700);
+pub const RETRY_AFTER_NO_ENDPOINT: Duration = Duration::from_millis(700);
 
 /// `Retry-After` of a VM at one of its limits, whose usage is averaged over about a second.
-pub const COME_BACK_AT_LIMIT: Duration = Duration::from_millis(1_000);
+pub const RETRY_AFTER_AT_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// Builds the reply for a failure, with `Retry-After` in the platform's form.
-pub fn reply_of<W: Wire>(failure: &Failure) -> Response<ReplyBody> {
+pub fn failure_response<W: Wire>(failure: &Failure) -> Response<ReplyBody> {
     let mut reply = failure_reply(failure);
     if let Some(after) = failure.retry_after {
         reply.headers_mut().insert(RETRY_AFTER, W::retry_after(after));
@@ -30,16 +30,16 @@
 
 /// The final failure of a request: a refusal with `Retry-After` if it is proved that the request
 /// was not run, otherwise a failure that guarantees nothing.
-pub fn give_up(run: RunLog, refusal: FailureKind, reason: &str) -> Failure {
+pub fn final_failure(run: RunLog, refusal: FailureKind, reason: &str) -> Failure {
     match run.not_run_evidence() {
-        Some(_) => Failure::before_work(refusal, reason).retry_after(COME_BACK_NO_ENDPOINT),
+        Some(_) => Failure::before_work(refusal, reason).retry_after(RETRY_AFTER_NO_ENDPOINT),
         None => Failure::new(FailureKind::ServiceLost, run.state(), reason),
     }
 }
 
 /// Raises a failure's `Retry-After` to at least `least`, as the request would be refused again
 /// before.
-pub fn not_before(failure: Failure, least: Option<Duration>) -> Failure {
+pub fn with_min_retry_after(failure: Failure, least: Option<Duration>) -> Failure {
     match (failure.retry_after, least) {
         (Some(after), Some(least)) => failure.retry_after(after.max(least)),
         _ => failure,
@@ -47,21 +47,21 @@
 }
 
 /// The failure of a request whose deadline has passed.
-pub fn out_of_time(run: RunLog) -> Failure {
+pub fn deadline_failure(run: RunLog) -> Failure {
     let reason = "its time was over before an answer came";
     match run.not_run_evidence() {
-        Some(_) => give_up(run, FailureKind::NoChain, reason),
+        Some(_) => final_failure(run, FailureKind::NoChain, reason),
         None => Failure::new(FailureKind::DeadlineExceeded, run.state(), reason),
     }
 }
 
 /// Whether a status guarantees that the request was not run and will not be.
-pub fn is_promise(status: u16) -> bool {
+pub fn guarantees_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
 /// The outcome under which a failure is counted.
-pub fn outcome_of(failure: &Failure) -> Outcome {
+pub fn failure_outcome(failure: &Failure) -> Outcome {
     match failure.run {
         RunState::NotRun => Outcome::Refused,
         RunState::Unknown | RunState::Ran => Outcome::Failed,
--- a/crates/sillbank_gateway/src/backoff.rs
+++ b/crates/sillbank_gateway/src/backoff.rs
@@ -41,14 +41,14 @@
 impl Pause {
     /// Time left of the pause. It is to be computed again and again: a pause that is short enough
     /// while the leader is live is too long once the leader is lost.
-    pub fn left(&self, now: Instant, hall: &Hall, freshness: Freshness) -> Duration {
+    pub fn remaining(&self, now: Instant, hall: &Hall, freshness: Freshness) -> Duration {
         let longest = hall.longest_pause(now, freshness);
         // A single failed call shows that the store is unreachable for both; the leader keeps
         // trying.
         let full = if hall.leader_is_live(now) { longest } else { self.exponential.min(longest) };
         // No other VM of the hall retries along with the one that reports to it, and its first
         // pauses were random. With a random share of the longest pause as well, it called 3.4 times
-        // a second where two serve the hall as well.
+        // a second where two calls a second serve the hall as well.
         let is_randomised = hall.tells.get().is_none() || full < longest;
         let share = if is_randomised { self.share } else { 1.0 };
         (self.began + full.mul_f64(share)).saturating_duration_since(now)
--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -1,11 +1,11 @@
 //! Reads and admits callers' requests and passes them on.
 
-use crate::answers::{COME_BACK_AT_LIMIT, COME_BACK_UNINFORMED, reply_of};
+use crate::answers::{RETRY_AFTER_AT_LIMIT, RETRY_AFTER_NOT_READY, failure_response};
 use crate::delivery::Delivery;
 use crate::gateway::{FIRST_KNOWLEDGE_WAIT, Gateway, Life};
 use crate::job::{Job, strip_connection_headers};
 use crate::store::MetadataStore;
-use crate::vm_limits::Standing;
+use crate::vm_limits::LimitState;
 use crate::wire::{CallerHead, Wire};
 use crate::{calls, streams};
 use bytes::{Bytes, BytesMut};
@@ -63,7 +63,7 @@
 impl<W: Wire, S: MetadataStore> Handler for CallerHandler<W, S> {
     async fn handle(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         let _in_progress = InProgressGuard::begin(&self.gateway);
-        let began = Instant::now();
+        let received_at = Instant::now();
         let (parts, body) = request.into_parts();
         let head = match W::read_caller(&parts.headers) {
             Ok(head) => head,
@@ -76,7 +76,7 @@
         let admitted = self.admit(&head, &parts, Instant::now());
         match admitted {
             Ok(admitted) => match self.read_body(body, &admitted).await {
-                Ok(body) => self.serve(head, parts, body, admitted, began).await,
+                Ok(body) => self.serve(head, parts, body, admitted, received_at).await,
                 Err(failure) => self.refuse(&head.request_id, &failure),
             },
             Err(failure) => self.refuse(&head.request_id, &failure),
@@ -99,7 +99,7 @@
         let label =
             crate::metrics::OutcomeLabel { outcome: "refused", status: failure.kind.http_status() };
         self.gateway.metrics.requests.get_or_create(&label).inc();
-        reply_of::<W>(failure)
+        failure_response::<W>(failure)
     }
 
     /// Waits, for a limited time, until a process that has just started knows enough to serve. That
@@ -133,7 +133,7 @@
     fn admit(&self, head: &CallerHead, parts: &Parts, now: Instant) -> Result<Admitted, Failure> {
         if self.gateway.life.get() == Life::Stopping {
             let failure = Failure::before_work(FailureKind::Stopping, "the VM is stopping");
-            return Err(failure.retry_after(COME_BACK_UNINFORMED));
+            return Err(failure.retry_after(RETRY_AFTER_NOT_READY));
         }
         let knowledge = &self.gateway.knowledge;
         let catalog = knowledge.catalog().ok_or_else(|| not_ready("no configuration is known"))?;
@@ -163,7 +163,7 @@
             .choose_service(self.gateway.chance.fraction())
             .and_then(|name| catalog.service(name))
             .ok_or_else(|| not_ready("the route's service is not configured"))?;
-        if self.gateway.standing() == Standing::Full {
+        if self.gateway.standing() == LimitState::Full {
             return Err(self.at_limit_failure(
                 &route,
                 &service.name,
@@ -184,7 +184,7 @@
                 let now = Instant::now();
                 failure.retry_after(self.gateway.come_back_after(service, refusal, now))
             }
-            false => failure.retry_after(COME_BACK_AT_LIMIT),
+            false => failure.retry_after(RETRY_AFTER_AT_LIMIT),
         }
     }
 
@@ -240,13 +240,13 @@
         parts: Parts,
         body: ReadBody,
         admitted: Admitted,
-        began: Instant,
+        received_at: Instant,
     ) -> Response<ReplyBody> {
         let caller = caller_id(&head, &parts);
         let mut headers = parts.headers;
         strip_connection_headers(&mut headers);
         let max_time = admitted.route.timeout;
-        let deadline = began + head.time_left.map_or(max_time, |left| left.min(max_time));
+        let deadline = received_at + head.time_left.map_or(max_time, |left| left.min(max_time));
         let job = Rc::new(Job {
             head,
             method: parts.method,
@@ -257,20 +257,20 @@
             route: admitted.route,
             service: admitted.service,
             organisation: admitted.organisation,
-            began,
+            received_at,
             deadline,
             run: Cell::new(RunLog::default()),
             sends: Cell::new(0),
             delivery: Delivery::default(),
-            foretold: OnceCell::new(),
+            forecast: OnceCell::new(),
             caller,
-            known_fingerprint: OnceCell::new(),
+            cached_fingerprint: OnceCell::new(),
             is_counted: Cell::new(false),
         });
         if let Some(failure) = self.gateway.refuse_held_back(&job) {
             return self.refuse(&job.head.request_id, &failure);
         }
-        self.gateway.count_first_send(&job.service.name);
+        self.gateway.record_first_send(&job.service.name);
         self.gateway.count_offered(&job);
         match job.route.kind {
             WorkKind::Call(_) => calls::answer(&self.gateway, &job).await,
@@ -289,5 +289,5 @@
 }
 
 fn not_ready(reason: &str) -> Failure {
-    Failure::before_work(FailureKind::NotReady, reason).retry_after(COME_BACK_UNINFORMED)
+    Failure::before_work(FailureKind::NotReady, reason).retry_after(RETRY_AFTER_NOT_READY)
 }
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -1,16 +1,20 @@
 //! Plain calls: one answer, read whole before it goes to the caller.
 
-use crate::answers::{give_up, not_before, out_of_time, outcome_of, reply_of};
-use crate::channels::Channel;
-use crate::decisions::{Outcome, SendEnd};
+use crate::answers::{
+    deadline_failure, failure_outcome, failure_response, final_failure, with_min_retry_after,
+};
+use crate::connection_pool::PooledConnection;
+use crate::crashes::{BrokenSend, check_broken_send};
+use crate::decisions::{FailedSend, Outcome};
 use crate::endpoints::{Evidence, Share};
-use crate::ends::{BrokenSend, on_broken_send};
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::metrics::KindLabel;
-use crate::sending::{Destination, Sent, WholeReply, evidence_of, read_whole, send};
+use crate::retries::{SendAttempts, SendFailureKind};
+use crate::sending::{
+    BufferedReply, Destination, SendOutcome, buffer_reply, health_evidence, send,
+};
 use crate::store::MetadataStore;
-use crate::tries::{Left, Tries};
 use crate::wire::Wire;
 use hyper::Response;
 use hyper::body::Incoming;
@@ -38,7 +42,7 @@
     let watch = CallWatch { gateway, job, ended: std::cell::Cell::new(false) };
     let late = async {
         smol::Timer::at(job.deadline).await;
-        Err(out_of_time(job.run.get()))
+        Err(deadline_failure(job.run.get()))
     };
     let ended = futures_lite::future::or(work(gateway, job), late).await;
     watch.ended.set(true);
@@ -50,8 +54,8 @@
         }
         Err(failure) => {
             let status = failure.kind.http_status();
-            gateway.on_end(job, outcome_of(&failure), status, 0, &failure.reason);
-            reply_of::<W>(&failure)
+            gateway.on_end(job, failure_outcome(&failure), status, 0, &failure.reason);
+            failure_response::<W>(&failure)
         }
     }
 }
@@ -84,8 +88,8 @@
     job: &Rc<Job>,
 ) -> Result<Response<ReplyBody>, Failure> {
     let mut tried: Vec<EndpointId> = Vec::new();
-    let mut tries = Tries::default();
-    let mut held: Option<WholeReply> = None;
+    let mut attempts = SendAttempts::default();
+    let mut held: Option<BufferedReply> = None;
     loop {
         let choice = choose(gateway, job, &tried);
         let withheld_for = gateway.note_withheld(job);
@@ -93,11 +97,11 @@
             Ok(choice) => choice,
             Err(refused) => {
                 let least = withheld_for.filter(|_| refused.reason == CallRefusal::Withheld);
-                let failure = || not_before(refuse(gateway, job, refused), least);
+                let failure = || with_min_retry_after(refuse(gateway, job, refused), least);
                 return held.map(|whole| whole.reply).ok_or_else(failure);
             }
         };
-        tries.begin(job);
+        attempts.record_send(job);
         gateway.count_against_limit(&choice.endpoint);
         let sent_at = Instant::now();
         let (left, reason) = match try_once(gateway, job, &choice).await {
@@ -109,24 +113,24 @@
                 gateway.on_ran_well(job);
                 let reason = format!("status {}", whole.reply.status().as_u16());
                 held = Some(whole);
-                (Left::MayHaveRun, reason)
+                (SendFailureKind::MayHaveRun, reason)
             }
-            Try::NotRun(reason) => (Left::NotRun, reason),
-            Try::Misdirected(reason) => (Left::Misdirected, reason),
-            Try::NotSent(reason) => (Left::NotSent, reason),
-            Try::Late(reason) => (Left::MayHaveRun, reason),
+            Try::NotRun(reason) => (SendFailureKind::NotRun, reason),
+            Try::Misdirected(reason) => (SendFailureKind::Misdirected, reason),
+            Try::NotSent(reason) => (SendFailureKind::NotSent, reason),
+            Try::Late(reason) => (SendFailureKind::MayHaveRun, reason),
             Try::Lost(reason) => {
                 let (endpoint, address) = (choice.endpoint.clone(), choice.address);
                 let broke_at = Instant::now();
                 let send =
                     BrokenSend { endpoint, address, sent_at, broke_at, first_event_at: None };
-                on_broken_send(gateway, job, send).await;
-                (Left::MayHaveRun, reason)
+                check_broken_send(gateway, job, send).await;
+                (SendFailureKind::MayHaveRun, reason)
             }
         };
         gateway.decisions.send_failed(
             job,
-            &SendEnd {
+            &FailedSend {
                 endpoint: &choice.endpoint,
                 at_fault: None,
                 run: job.run.get().state(),
@@ -135,10 +139,10 @@
             },
         );
         tried.push(choice.endpoint);
-        let goes_on = tries.goes_on(gateway, job, left);
+        let goes_on = attempts.may_retry(gateway, job, left);
         if !goes_on {
             let held = held.map(|whole| whole.reply);
-            return held.ok_or_else(|| give_up(job.run.get(), FailureKind::NoChain, &reason));
+            return held.ok_or_else(|| final_failure(job.run.get(), FailureKind::NoChain, &reason));
         }
     }
 }
@@ -151,7 +155,7 @@
 ) -> Failure {
     let kind = KindLabel { kind: refused.reason.name() };
     gateway.metrics.calls_refused.get_or_create(&kind).inc();
-    let failure = give_up(job.run.get(), FailureKind::NoChain, refused.reason.text());
+    let failure = final_failure(job.run.get(), FailureKind::NoChain, refused.reason.text());
     match failure.retry_after {
         Some(_) if refused.reason != CallRefusal::NoEndpoint => {
             failure.retry_after(refused.come_back)
@@ -165,7 +169,7 @@
     /// The whole answer.
     Done(Response<ReplyBody>),
     /// The endpoint's own failure, whole.
-    Failed(WholeReply),
+    Failed(BufferedReply),
     NotRun(String),
     /// The endpoint is not the one that was meant.
     Misdirected(String),
@@ -186,7 +190,7 @@
     let _in_flight =
         gateway.book.begin(vec![Share { endpoint: choice.endpoint.clone(), kv: 0.0 }], now);
     let exchange = exchange(gateway, job, choice);
-    let may_turn = job.may_repeat() && choice.has_other && job.may_send_again(now);
+    let may_turn = job.is_idempotent() && choice.has_other && job.may_send_again(now);
     if !may_turn {
         return exchange.await;
     }
@@ -208,11 +212,11 @@
     let watch = gateway.call_book.watch(&job.service.name, &choice.endpoint, Instant::now());
     let sent_at = Instant::now();
     let sent = send(gateway, job, to, None).await;
-    if let Some(evidence) = evidence_of(&sent) {
+    if let Some(evidence) = health_evidence(&sent) {
         gateway.on_evidence(&choice.endpoint, evidence, sent_at, "a call");
     }
     match sent {
-        Sent::Success(reply, channel) => {
+        SendOutcome::Success(reply, channel) => {
             match whole_answer(gateway, choice, reply, channel).await {
                 Ok(whole) => {
                     watch.on_answer();
@@ -221,13 +225,13 @@
                 Err(reason) => Try::Lost(reason),
             }
         }
-        Sent::Failure(reply, channel) => {
+        SendOutcome::Failure(reply, channel) => {
             match whole_answer(gateway, choice, reply, channel).await {
                 Ok(whole) => Try::Failed(whole),
                 Err(reason) => Try::Lost(reason),
             }
         }
-        Sent::NotRun(refusal) => {
+        SendOutcome::NotRun(refusal) => {
             let reason = format!("the endpoint refused with status {}", refusal.status);
             if !refusal.misdirected {
                 watch.on_full();
@@ -238,11 +242,11 @@
             gateway.on_evidence(endpoint, Evidence::Unreachable, sent_at, "misdirected");
             Try::Misdirected(reason)
         }
-        Sent::NotSent(reason) => {
+        SendOutcome::NotSent(reason) => {
             watch.on_nothing();
             Try::NotSent(reason)
         }
-        Sent::Lost(reason) => Try::Lost(reason),
+        SendOutcome::Lost(reason) => Try::Lost(reason),
     }
 }
 
@@ -251,9 +255,9 @@
     gateway: &Gateway<W, S>,
     choice: &Choice,
     reply: Response<Incoming>,
-    channel: Channel,
-) -> Result<WholeReply, String> {
-    let whole = read_whole(reply, MAX_ANSWER_BYTES, &gateway.kept).await?;
+    channel: PooledConnection,
+) -> Result<BufferedReply, String> {
+    let whole = buffer_reply(reply, MAX_ANSWER_BYTES, &gateway.kept).await?;
     gateway.keep_channel(&choice.endpoint, channel, &whole.head);
     Ok(whole)
 }
@@ -298,7 +302,7 @@
         let candidates: Vec<CallCandidate<'_>> = candidates.collect();
         let ask = CallAsk {
             time_left: job.time_left(now),
-            may_repeat: job.may_repeat(),
+            may_repeat: job.is_idempotent(),
             rank: job.priority(),
         };
         let choice = match settings.mechanisms.calls_in_time {
--- a/crates/sillbank_gateway/src/channels.rs
+++ b/crates/sillbank_gateway/src/connection_pool.rs
@@ -18,15 +18,15 @@
 const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
 /// Timeout of opening a connection. Halls are a fraction of a millisecond apart, and a lost first
 /// packet is retransmitted after a second.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum idle connections per endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 64;
 
 /// A connection to one endpoint that carries one request at a time.
 #[derive(Debug)]
-pub struct Channel {
+pub struct PooledConnection {
     /// The connection.
-    pub connection: Connection,
+    pub inner: Connection,
     /// Whether it has carried a request before.
     pub reused: bool,
     /// Address it is connected to.
@@ -38,12 +38,12 @@
 
 /// Idle connections, by endpoint.
 #[derive(Debug)]
-pub struct ChannelPool {
+pub struct ConnectionPool {
     executor: Rc<LocalExecutor<'static>>,
-    idle: RefCell<HashMap<EndpointId, Vec<Channel>>>,
+    idle: RefCell<HashMap<EndpointId, Vec<PooledConnection>>>,
 }
 
-impl ChannelPool {
+impl ConnectionPool {
     /// Creates an empty pool.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
         Self { executor, idle: RefCell::default() }
@@ -51,12 +51,17 @@
 
     /// Takes the most recently used connection to an endpoint that is still usable. An endpoint
     /// that restarts may have another address; connections to the previous address are closed.
-    pub fn take(&self, endpoint: &str, address: SocketAddr, now: Instant) -> Option<Channel> {
+    pub fn take(
+        &self,
+        endpoint: &str,
+        address: SocketAddr,
+        now: Instant,
+    ) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(endpoint)?;
-        while let Some(channel) = connections.pop() {
-            if channel.address == address && is_usable(&channel, now) {
-                return Some(channel);
+        while let Some(connection) = connections.pop() {
+            if connection.address == address && is_usable(&connection, now) {
+                return Some(connection);
             }
         }
         None
@@ -65,29 +70,35 @@
     /// Opens a new connection.
     ///
     /// # Errors
-    /// The connection error, or `TimedOut` after [`CONNECT_LIMIT`].
-    pub async fn open(&self, address: SocketAddr) -> std::io::Result<Channel> {
+    /// The connection error, or `TimedOut` after [`CONNECT_TIMEOUT`].
+    pub async fn open(&self, address: SocketAddr) -> std::io::Result<PooledConnection> {
         let timeout = async {
-            smol::Timer::after(CONNECT_LIMIT).await;
+            smol::Timer::after(CONNECT_TIMEOUT).await;
             Err(std::io::Error::from(std::io::ErrorKind::TimedOut))
         };
         let open = Connection::open(&self.executor, address);
-        let connection = futures_lite::future::or(open, timeout).await?;
+        let inner = futures_lite::future::or(open, timeout).await?;
         let now = Instant::now();
-        Ok(Channel { connection, reused: false, address, opened_at: now, idle_until: now })
+        Ok(PooledConnection { inner, reused: false, address, opened_at: now, idle_until: now })
     }
 
     /// Returns a connection to the pool after a complete reply, unless the reply's head closes it.
-    pub fn give_back(&self, endpoint: &str, mut channel: Channel, reply: &HeaderMap, now: Instant) {
+    pub fn put_back(
+        &self,
+        endpoint: &str,
+        mut connection: PooledConnection,
+        reply: &HeaderMap,
+        now: Instant,
+    ) {
         let Some(idle_time) = idle_time(reply) else {
             return;
         };
-        channel.idle_until = now + idle_time;
-        channel.reused = true;
+        connection.idle_until = now + idle_time;
+        connection.reused = true;
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(endpoint.to_owned()).or_default();
-        if connections.len() < MAX_IDLE_PER_ENDPOINT && !channel.connection.sender.is_closed() {
-            connections.push(channel);
+        if connections.len() < MAX_IDLE_PER_ENDPOINT && !connection.inner.sender.is_closed() {
+            connections.push(connection);
         }
     }
 
@@ -95,19 +106,19 @@
     pub fn sweep(&self, now: Instant) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
-            connections.retain(|channel| is_usable(channel, now));
+            connections.retain(|connection| is_usable(connection, now));
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
 
     /// Closes all idle connections to an endpoint.
-    pub fn forget(&self, endpoint: &str) {
+    pub fn close_idle(&self, endpoint: &str) {
         self.idle.borrow_mut().remove(endpoint);
     }
 }
 
-fn is_usable(channel: &Channel, now: Instant) -> bool {
-    now < channel.idle_until && channel.connection.sender.is_ready()
+fn is_usable(connection: &PooledConnection, now: Instant) -> bool {
+    now < connection.idle_until && connection.inner.sender.is_ready()
 }
 
 /// How long a connection may stay idle after a reply; `None` if the reply closes it.
--- a/crates/sillbank_gateway/src/ends.rs
+++ b/crates/sillbank_gateway/src/crashes.rs
@@ -1,12 +1,12 @@
-//! Tells an endpoint that ended while it ran a request from a connection that broke.
+//! Tells an endpoint that crashed while it ran a request from a connection that broke.
 //!
 //! A broken connection alone proves little: networks reset connections, and endpoints lose replies.
-//! An endpoint that has ended refuses new connections, or has restarted. One that was leaving ends
+//! An endpoint that has crashed refuses new connections, or has restarted. One that was leaving ends
 //! as planned, whatever it had not finished.
 
-use crate::doctor::silence_means_loss;
 use crate::gateway::Gateway;
 use crate::job::Job;
+use crate::probes::silence_means_loss;
 use crate::store::MetadataStore;
 use crate::wire::Wire;
 use sillbank_core::prelude::*;
@@ -18,12 +18,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time limit of a connection check. An endpoint that has ended refuses within a millisecond; the
+/// Time limit of a connection check. A crashed endpoint refuses within a millisecond; the
 /// next send of a request that lost its endpoint waits for the check.
 const CONNECT_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Delay before the second check. An endpoint that ended is away for longer; other VMs learn of a
-/// first end later.
+/// Delay before the second check. A crashed endpoint is away for longer; other VMs learn of a
+/// first crash later.
 const RECHECK_DELAY: Duration = Duration::from_millis(100);
 
 /// A send whose connection broke before the answer was complete.
@@ -48,17 +48,17 @@
     }
 }
 
-/// Endpoints that this VM found to have ended.
+/// Endpoints that this VM found to have crashed.
 #[derive(Debug, Default)]
-pub struct EndedEndpoints {
-    ended_at: RefCell<HashMap<EndpointId, Instant>>,
+pub struct CrashedEndpoints {
+    crashed_at: RefCell<HashMap<EndpointId, Instant>>,
     /// Allows one check of an endpoint at a time: many requests lose it at the same moment.
     check_locks: RefCell<HashMap<EndpointId, Rc<Mutex<()>>>>,
 }
 
-impl EndedEndpoints {
-    fn ended_since(&self, endpoint: &str, since: Instant) -> bool {
-        self.ended_at.borrow().get(endpoint).is_some_and(|at| *at >= since)
+impl CrashedEndpoints {
+    fn crashed_since(&self, endpoint: &str, since: Instant) -> bool {
+        self.crashed_at.borrow().get(endpoint).is_some_and(|at| *at >= since)
     }
 
     fn check_lock(&self, endpoint: &str) -> Rc<Mutex<()>> {
@@ -67,17 +67,17 @@
 
     /// Drops endpoints that are no longer listed.
     pub fn retain(&self, is_known: impl Fn(&str) -> bool) {
-        self.ended_at.borrow_mut().retain(|id, _| is_known(id));
+        self.crashed_at.borrow_mut().retain(|id, _| is_known(id));
         self.check_locks
             .borrow_mut()
             .retain(|id, check_lock| Rc::strong_count(check_lock) > 1 || is_known(id));
     }
 }
 
-/// Checks whether an endpoint has ended under a request. One that still accepts connections is
+/// Checks whether an endpoint has crashed under a request. One that still accepts connections is
 /// checked a second time in the background: a process that ends may close its connections before
 /// its listener.
-pub async fn on_broken_send<W: Wire, S: MetadataStore>(
+pub async fn check_broken_send<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     send: BrokenSend,
@@ -86,25 +86,27 @@
     if !silence_means_loss(standing) {
         return;
     }
-    if has_ended(gateway, &send).await {
+    if has_crashed(gateway, &send).await {
         gateway.on_ended_under(job, &send);
         return;
     }
     let (recheck_gateway, job) = (gateway.clone(), job.clone());
     let recheck = async move {
         smol::Timer::after(RECHECK_DELAY).await;
-        if has_ended(&recheck_gateway, &send).await {
+        if has_crashed(&recheck_gateway, &send).await {
             recheck_gateway.on_ended_under(&job, &send);
         }
     };
     gateway.executor.spawn(recheck).detach();
 }
 
-async fn has_ended<W: Wire, S>(gateway: &Gateway<W, S>, send: &BrokenSend) -> bool {
-    let (ends, endpoint) = (&gateway.ends, send.endpoint.as_str());
-    let check_lock = ends.check_lock(endpoint);
+/// Whether the endpoint has crashed since the request was sent: found before, restarted, or refusing
+/// connections.
+async fn has_crashed<W: Wire, S>(gateway: &Gateway<W, S>, send: &BrokenSend) -> bool {
+    let (crashed, endpoint) = (&gateway.crashed_endpoints, send.endpoint.as_str());
+    let check_lock = crashed.check_lock(endpoint);
     let _guard = check_lock.lock().await;
-    if ends.ended_since(endpoint, send.sent_at)
+    if crashed.crashed_since(endpoint, send.sent_at)
         || gateway.book.renewed_since(endpoint, send.sent_at)
     {
         return true;
@@ -112,7 +114,7 @@
     if !refuses_connections(send.address, CONNECT_CHECK_TIMEOUT).await {
         return false;
     }
-    ends.ended_at.borrow_mut().insert(endpoint.to_owned(), Instant::now());
+    crashed.crashed_at.borrow_mut().insert(endpoint.to_owned(), Instant::now());
     gateway.metrics.ended_endpoints.inc();
     true
 }
--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -3,11 +3,11 @@
 //! Lines about requests are rate limited; dropped ones are counted and reported. Lines about
 //! knowledge are few and always written.
 
-use crate::ends::BrokenSend;
+use crate::crashes::BrokenSend;
 use crate::job::Job;
 use crate::knowledge::KnowledgeStamp;
 use crate::revision::Revision;
-use crate::wire::OrderEnd;
+use crate::wire::OrderOutcome;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
@@ -51,7 +51,7 @@
 
 /// A send that ended without the answer for the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SendEnd<'a> {
+pub struct FailedSend<'a> {
     /// Endpoint that the request was sent to.
     pub endpoint: &'a str,
     /// Endpoint at fault, if it is another one.
@@ -66,13 +66,13 @@
 
 /// Writes the decision log, with a rate limit on lines about requests.
 #[derive(Debug)]
-pub struct Decisions {
+pub struct DecisionLog {
     window_start: Cell<Instant>,
     lines_written: Cell<u32>,
     lines_dropped: Cell<u64>,
 }
 
-impl Default for Decisions {
+impl Default for DecisionLog {
     fn default() -> Self {
         Self {
             window_start: Cell::new(Instant::now()),
@@ -82,7 +82,7 @@
     }
 }
 
-impl Decisions {
+impl DecisionLog {
     /// A request was refused before it was admitted.
     pub fn refused(&self, request_id: &str, failure: &Failure, stamp: KnowledgeStamp) {
         if self.take_line() {
@@ -129,16 +129,16 @@
     }
 
     /// A send ended without the answer for the caller.
-    pub fn send_failed(&self, job: &Job, end: &SendEnd<'_>) {
+    pub fn send_failed(&self, job: &Job, failed: &FailedSend<'_>) {
         if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 send = job.sends.get(),
-                endpoint = end.endpoint,
-                at_fault = end.at_fault,
-                run = ?end.run,
-                reason = end.reason,
-                after_ms = end.after.as_millis() as u64,
+                endpoint = failed.endpoint,
+                at_fault = failed.at_fault,
+                run = ?failed.run,
+                reason = failed.reason,
+                after_ms = failed.after.as_millis() as u64,
                 "route: Send failed."
             );
         }
@@ -156,8 +156,8 @@
         }
     }
 
-    /// An endpoint ended while it had this request, which may or may not be the cause.
-    pub fn ended_under(&self, job: &Job, send: &BrokenSend, is_suspected: bool) {
+    /// An endpoint crashed while it had this request, which may or may not be the cause.
+    pub fn endpoint_crashed(&self, job: &Job, send: &BrokenSend, is_suspected: bool) {
         if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
@@ -177,7 +177,7 @@
         job: &Job,
         lost: &[EndpointId],
         path: &LayerPath,
-        end: OrderEnd,
+        outcome: OrderOutcome,
         stamp: KnowledgeStamp,
     ) {
         if self.take_line() {
@@ -185,7 +185,7 @@
                 request = job.head.request_id,
                 at_fault = lost.join(","),
                 path = describe_path(path),
-                end = end.name(),
+                end = outcome.name(),
                 endpoints_at = %stamp.endpoints_at,
                 "route: Moved."
             );
@@ -194,7 +194,7 @@
 
     /// A request ended.
     pub fn ended(&self, job: &Job, outcome: Outcome, status: u16, events: u64, reason: &str) {
-        let forecast = job.foretold().map(|foretold| foretold.corrected);
+        let forecast = job.forecast().map(|forecast| forecast.corrected);
         if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
@@ -210,10 +210,10 @@
                 reason,
                 first_ms = job.delivery.first().map(|first| first.as_millis() as u64),
                 pause_ms = job.delivery.longest_pause().as_millis() as u64,
-                foretold_first_ms = forecast.map(|forecast| forecast.first_event.as_millis() as u64),
-                foretold_pause_ms = forecast.map(|forecast| forecast.pause.as_millis() as u64),
+                foretold_first_ms = forecast.map(|times| times.first_event.as_millis() as u64),
+                foretold_pause_ms = forecast.map(|times| times.pause.as_millis() as u64),
                 moves = job.delivery.moves(),
-                total_ms = job.began.elapsed().as_millis() as u64,
+                total_ms = job.received_at.elapsed().as_millis() as u64,
                 "caller: Ended."
             );
         }
@@ -265,6 +265,7 @@
         );
     }
 
+    /// Takes a line from the rate limit; returns false if it is used up.
     fn take_line(&self) -> bool {
         let now = Instant::now();
         if now.saturating_duration_since(self.window_start.get()) >= Duration::from_secs(1) {
--- a/crates/sillbank_gateway/src/delivery.rs
+++ b/crates/sillbank_gateway/src/delivery.rs
@@ -13,10 +13,10 @@
 }
 
 impl Delivery {
-    /// An event of a request that was received at `began` was sent.
-    pub fn on_event(&self, began: Instant, now: Instant) {
+    /// An event of the request was sent to its caller. `received_at` is when the request was received.
+    pub fn on_event(&self, received_at: Instant, now: Instant) {
         match self.last_at.replace(Some(now)) {
-            None => self.first.set(Some(now.saturating_duration_since(began))),
+            None => self.first.set(Some(now.saturating_duration_since(received_at))),
             Some(last) => {
                 let pause = now.saturating_duration_since(last);
                 self.longest_pause.set(self.longest_pause.get().max(pause));
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -106,7 +106,8 @@
     /// Counts a request that came.
     pub fn count_offered(&self, job: &Job) {
         let mut route_times = self.demand.route_times.borrow_mut();
-        let is_returning = route_times.is_returning(job.began, &job.route.name, job.head.time_left);
+        let is_returning =
+            route_times.is_returning(job.received_at, &job.route.name, job.head.time_left);
         let event = if is_returning { Event::Returned } else { Event::Offered };
         self.count_demand(job, event);
     }
--- a/crates/sillbank_gateway/src/events.rs
+++ b/crates/sillbank_gateway/src/events.rs
@@ -8,7 +8,7 @@
 
 /// A complete event, including the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct SseEvent {
     /// Bytes of the event, unchanged.
     pub bytes: Bytes,
     /// Number in the `id` field.
@@ -42,12 +42,12 @@
     }
 
     /// Number of buffered bytes.
-    pub fn held_bytes(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
     /// Removes and returns the next complete event, if there is one.
-    pub fn next_event(&mut self) -> Option<WholeEvent> {
+    pub fn next_event(&mut self) -> Option<SseEvent> {
         let Some(end) = self.find_end() else {
             self.searched = self.buffer.len().saturating_sub(END_CRLF.len() - 1);
             return None;
@@ -55,11 +55,11 @@
         self.searched = 0;
         let bytes = self.buffer.split_to(end).freeze();
         let number = parse_number(&bytes);
-        Some(WholeEvent { bytes, number })
+        Some(SseEvent { bytes, number })
     }
 
     /// Whether an incomplete event is buffered.
-    pub fn holds_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/crates/sillbank_gateway/src/follow.rs
+++ b/crates/sillbank_gateway/src/follow.rs
@@ -27,7 +27,7 @@
 async fn pause<W: Wire, S: MetadataStore>(backoff: &mut Backoff, gateway: &Gateway<W, S>) {
     let pause = backoff.next_pause(Instant::now(), gateway.chance.fraction());
     loop {
-        let left = pause.left(Instant::now(), &gateway.hall, gateway.freshness());
+        let left = pause.remaining(Instant::now(), &gateway.hall, gateway.freshness());
         if left.is_zero() {
             return;
         }
--- a/crates/sillbank_gateway/src/forecasts.rs
+++ b/crates/sillbank_gateway/src/forecasts.rs
@@ -16,13 +16,13 @@
 
 /// Forecast for a stream, made when it was sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Foretold {
+pub struct StreamForecast {
     /// Hall in which the path starts.
     pub hall: HallId,
     /// When the stream was sent.
     pub sent_at: Instant,
     /// Prediction from the service's figures and the engines' load.
-    pub plain: Predicted,
+    pub uncorrected: Predicted,
     /// The same with the learned correction of the hall.
     pub corrected: Predicted,
 }
@@ -52,13 +52,13 @@
 impl Forecasts {
     /// Makes the forecast for a stream that is sent over a path now. `None` where the leaders'
     /// reports or the service's figures do not cover all engines of the path.
-    pub fn foretell(
+    pub fn predict(
         &self,
         views: Views<'_>,
         ask: PathAsk<'_>,
         path: &LayerPath,
-    ) -> Option<Foretold> {
-        let (hall, plain) = views.knowledge.endpoints(|directory| {
+    ) -> Option<StreamForecast> {
+        let (hall, uncorrected) = views.knowledge.endpoints(|directory| {
             let hall = directory.get(&path.first().endpoint)?.hall.clone();
             let load = |part| reported_load(views, ask.figures, directory, part);
             let loads: Option<Vec<EngineLoad<'_>>> = path.parts().iter().map(load).collect();
@@ -66,23 +66,23 @@
         })?;
         let correction = self.by_hall.borrow().get(&hall).copied().unwrap_or_default();
         let corrected = Predicted {
-            first_event: correction.first_event.apply(plain.first_event),
-            pause: correction.pause.apply(plain.pause),
+            first_event: correction.first_event.apply(uncorrected.first_event),
+            pause: correction.pause.apply(uncorrected.pause),
         };
-        Some(Foretold { hall, sent_at: views.now, plain, corrected })
+        Some(StreamForecast { hall, sent_at: views.now, uncorrected, corrected })
     }
 
     /// A stream was answered completely: records the forecast's error if the stream ran on the path
     /// the forecast was made for.
     pub fn on_answered(&self, job: &Job, mechanisms: Mechanisms, metrics: &Metrics) {
-        let Some(foretold) = job.foretold() else {
+        let Some(forecast) = job.forecast() else {
             return;
         };
         if job.sends.get() > 1 || job.delivery.moves() > 0 {
             return;
         }
         let is_learning = mechanisms.forecast_learning;
-        let ratios = self.on_shown(foretold, job.began, &job.delivery, is_learning);
+        let ratios = self.record_observed(forecast, job.received_at, &job.delivery, is_learning);
         if let Some(ratio) = ratios.first_event {
             metrics.forecast_first_ratio.observe(ratio);
         }
@@ -91,30 +91,30 @@
         }
     }
 
-    /// Compares a forecast with what was observed of a stream that was received at `began`, and
-    /// learns from it if `is_learning`.
-    pub fn on_shown(
+    /// Compares a forecast with what was observed of a stream, and learns from it if `is_learning`.
+    /// `received_at` is when the stream's request was received.
+    pub fn record_observed(
         &self,
-        foretold: &Foretold,
-        began: Instant,
-        shown: &Delivery,
+        forecast: &StreamForecast,
+        received_at: Instant,
+        delivery: &Delivery,
         is_learning: bool,
     ) -> ForecastRatios {
-        let delay = foretold.sent_at.saturating_duration_since(began);
-        let first_event = shown.first().map(|first| first.saturating_sub(delay));
-        let pause = Some(shown.longest_pause()).filter(|pause| !pause.is_zero());
+        let delay = forecast.sent_at.saturating_duration_since(received_at);
+        let first_event = delivery.first().map(|first| first.saturating_sub(delay));
+        let pause = Some(delivery.longest_pause()).filter(|pause| !pause.is_zero());
         if is_learning {
             let mut by_hall = self.by_hall.borrow_mut();
-            let correction = by_hall.entry(foretold.hall.clone()).or_default();
+            let correction = by_hall.entry(forecast.hall.clone()).or_default();
             if let Some(first_event) = first_event {
-                correction.first_event.learn(foretold.plain.first_event, first_event);
+                correction.first_event.learn(forecast.uncorrected.first_event, first_event);
             }
             if let Some(pause) = pause {
-                correction.pause.learn(foretold.plain.pause, pause);
+                correction.pause.learn(forecast.uncorrected.pause, pause);
             }
         }
         let Predicted { first_event: expected_first_event, pause: expected_pause } =
-            foretold.corrected;
+            forecast.corrected;
         let known = |ratio: f64| Some(ratio).filter(|ratio| ratio.is_finite());
         ForecastRatios {
             first_event: first_event
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -1,12 +1,12 @@
 //! The parts of a gateway that its tasks share.
 
 use crate::call_book::CallBook;
-use crate::channels::ChannelPool;
+use crate::connection_pool::ConnectionPool;
 use crate::counted_store::CountedStore;
-use crate::decisions::{Decisions, Outcome};
+use crate::crashes::CrashedEndpoints;
+use crate::decisions::{DecisionLog, Outcome};
 use crate::demand::DemandBook;
 use crate::endpoints::{EndpointBook, Evidence};
-use crate::ends::EndedEndpoints;
 use crate::feed::Incarnation;
 use crate::forecasts::Forecasts;
 use crate::freshness::Freshness;
@@ -20,9 +20,9 @@
 use crate::revision::Revision;
 use crate::settings::GatewaySettings;
 use crate::store::StoreError;
-use crate::streams::HeardStreams;
+use crate::streams::StreamActivity;
 use crate::unreadable::UnreadableEntries;
-use crate::vm_limits::{LimitMeter, Standing};
+use crate::vm_limits::{LimitMeter, LimitState};
 use crate::wire::Wire;
 use sillbank_admission::budget::RetryBudget;
 use sillbank_catalog::prelude::*;
@@ -71,7 +71,7 @@
     /// What was seen of endpoints.
     pub book: Rc<EndpointBook>,
     /// Endpoints that ended under requests.
-    pub ends: EndedEndpoints,
+    pub crashed_endpoints: CrashedEndpoints,
     /// What endpoints asked of VMs in their answers.
     pub pushback: RefCell<PushbackBook>,
     /// What this VM has given away of their limits while it leads.
@@ -87,17 +87,17 @@
     /// What was learnt of forecasts of streams.
     pub forecasts: Forecasts,
     /// Streams in progress, by what was last heard of them.
-    pub heard: Rc<HeardStreams>,
+    pub stream_activity: Rc<StreamActivity>,
     /// What is known of the load on services.
     pub load: FleetLoad,
     /// What this VM and its hall are asked for.
     pub demand: DemandBook,
     /// Connections to endpoints.
-    pub channels: ChannelPool,
+    pub connection_pool: ConnectionPool,
     /// Calls to engines beside requests: reports and orders.
     pub engine_calls: HttpClient,
     /// Decision lines.
-    pub decisions: Decisions,
+    pub decisions: DecisionLog,
     /// Metrics.
     pub metrics: Metrics,
     /// What is kept for callers and endpoints.
@@ -141,7 +141,7 @@
             limits: RefCell::default(),
             hall: Hall::new(chance.clone()),
             book: Rc::default(),
-            ends: EndedEndpoints::default(),
+            crashed_endpoints: CrashedEndpoints::default(),
             pushback: RefCell::default(),
             limit_parts: LimitParts::default(),
             quarantine: RefCell::default(),
@@ -149,12 +149,12 @@
             quarantine_told: Cell::new(0),
             call_book: CallBook::default(),
             forecasts: Forecasts::default(),
-            heard: Rc::default(),
+            stream_activity: Rc::default(),
             load: FleetLoad::default(),
             demand: DemandBook::new(incarnation, began),
-            channels: ChannelPool::new(executor.clone()),
+            connection_pool: ConnectionPool::new(executor.clone()),
             engine_calls,
-            decisions: Decisions::default(),
+            decisions: DecisionLog::default(),
             metrics,
             executor,
             life: Cell::new(Life::Serving),
@@ -200,10 +200,10 @@
     }
 
     /// Where this VM stands to its limits, as far as it acts on that.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> LimitState {
         match self.settings.borrow().mechanisms.vm_limits {
-            true => self.limits.borrow().standing(),
-            false => Standing::Clear,
+            true => self.limits.borrow().state(),
+            false => LimitState::Clear,
         }
     }
 
@@ -212,7 +212,7 @@
     pub fn strength(&self) -> Strength {
         let settings = self.settings.borrow();
         match self.life.get() {
-            Life::Serving if self.standing() != Standing::Clear => 0.0,
+            Life::Serving if self.standing() != LimitState::Clear => 0.0,
             Life::Serving => settings.processors * settings.link_mbps,
             Life::Draining | Life::Stopping => 0.0,
         }
@@ -240,7 +240,7 @@
             && self.knowledge.is_fresh(now)
             && self.knowledge.knows_endpoints()
             && self.knows_quarantine(now)
-            && (self.standing() == Standing::Clear || !self.hall.others_suffice(now))
+            && (self.standing() == LimitState::Clear || !self.hall.others_suffice(now))
     }
 
     /// Takes a configuration that was read as of a revision, unless a newer one is in force.
@@ -278,7 +278,7 @@
 
     /// An entry of an endpoint cannot be read.
     pub fn on_unreadable(&self, entry: &UnreadableEntry) {
-        if self.unreadable.note(entry) {
+        if self.unreadable.record(entry) {
             self.metrics.unreadable.get_or_create(&KindLabel { kind: "entry" }).inc();
         }
     }
@@ -290,7 +290,7 @@
             self.unreadable.forget(id);
             self.decisions.endpoint_removed(id, *removal, stamp);
             if *removal == Removal::Gone {
-                self.channels.forget(id);
+                self.connection_pool.close_idle(id);
             }
         }
     }
@@ -338,7 +338,7 @@
         }
         match self.book.is_ejected(endpoint) {
             true => {
-                self.channels.forget(endpoint);
+                self.connection_pool.close_idle(endpoint);
                 tracing::warn!(endpoint, reason, "endpoint: Left alone.");
             }
             false => tracing::info!(endpoint, reason, "endpoint: Used again."),
@@ -351,7 +351,10 @@
         self.metrics.requests.get_or_create(&label).inc();
         self.count_end(job, outcome);
         let kind = KindLabel { kind: work_name(job) };
-        self.metrics.whole_answer_s.get_or_create(&kind).observe(job.began.elapsed().as_secs_f64());
+        self.metrics
+            .whole_answer_s
+            .get_or_create(&kind)
+            .observe(job.received_at.elapsed().as_secs_f64());
         if outcome == Outcome::Answered {
             self.forecasts.on_answered(job, self.settings.borrow().mechanisms, &self.metrics);
         }
@@ -361,7 +364,10 @@
     /// The first part of an answer is there.
     pub fn on_first_answer(&self, job: &Job) {
         let kind = KindLabel { kind: work_name(job) };
-        self.metrics.first_answer_s.get_or_create(&kind).observe(job.began.elapsed().as_secs_f64());
+        self.metrics
+            .first_answer_s
+            .get_or_create(&kind)
+            .observe(job.received_at.elapsed().as_secs_f64());
     }
 }
 
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -2,9 +2,9 @@
 
 use crate::delivery::Delivery;
 use crate::endpoints::Share;
-use crate::forecasts::Foretold;
+use crate::forecasts::StreamForecast;
 use crate::paths::PathAsk;
-use crate::wire::{CallerHead, Sending, Wire};
+use crate::wire::{CallerHead, SendContext, Wire};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName};
@@ -24,7 +24,7 @@
 
 /// Rank of requests for which neither the route nor the organisation sets one: the middle of 0 to
 /// 9.
-const USUAL_PRIORITY: u8 = 5;
+const DEFAULT_PRIORITY: u8 = 5;
 /// Minimum time before the deadline at which a request is still sent.
 pub const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
@@ -50,7 +50,7 @@
     /// Organisation of the caller, if the route needs a key.
     pub organisation: Option<Rc<Organisation>>,
     /// When the head was read.
-    pub began: Instant,
+    pub received_at: Instant,
     /// Earlier of the caller's time limit and the route's.
     pub deadline: Instant,
     /// What is known of the request's execution.
@@ -60,11 +60,11 @@
     /// Events as the caller saw them.
     pub delivery: Delivery,
     /// Forecast made at the first send; `None` inside if no forecast was possible.
-    pub foretold: OnceCell<Option<Foretold>>,
+    pub forecast: OnceCell<Option<StreamForecast>>,
     /// Identifies the caller by key and connection, to recognise callers who retry at once.
     pub caller: Option<CallerMark>,
     /// Cache of [`Job::fingerprint`].
-    pub known_fingerprint: OnceCell<Fingerprint>,
+    pub cached_fingerprint: OnceCell<Fingerprint>,
     /// Whether the request was counted as let in or refused.
     pub is_counted: Cell<bool>,
 }
@@ -83,11 +83,11 @@
             organisation: self.organisation.as_ref().map(|o| o.name.as_str()),
             body: &self.body,
         };
-        *self.known_fingerprint.get_or_init(|| parts().fingerprint())
+        *self.cached_fingerprint.get_or_init(|| parts().fingerprint())
     }
 
     /// Whether the request may run more than once.
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         self.route.kind.repeat() == Repeat::Safe
     }
 
@@ -97,14 +97,14 @@
     }
 
     /// The forecast made at the first send, if one was possible.
-    pub fn foretold(&self) -> Option<&Foretold> {
-        self.foretold.get()?.as_ref()
+    pub fn forecast(&self) -> Option<&StreamForecast> {
+        self.forecast.get()?.as_ref()
     }
 
     /// Updates the log of the request's execution.
-    pub fn note_run(&self, note: impl FnOnce(&mut RunLog)) {
+    pub fn update_run(&self, change: impl FnOnce(&mut RunLog)) {
         let mut run = self.run.get();
-        note(&mut run);
+        change(&mut run);
         self.run.set(run);
     }
 
@@ -120,7 +120,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         let mut headers = self.headers.clone();
-        let sending = Sending {
+        let context = SendContext {
             endpoint,
             time_left: self.time_left(now),
             organisation: self.organisation.as_ref().map(|o| o.name.as_str()),
@@ -128,7 +128,7 @@
             path,
             resume_after: resume_after.or(self.head.resume_after),
         };
-        W::prepare_sending(&mut headers, &sending);
+        W::prepare_headers(&mut headers, &context);
         *request.headers_mut() = headers;
         request
     }
@@ -140,9 +140,12 @@
         let Some(tokens) = self.head.tokens else {
             return usual;
         };
-        let most = f64::from(tokens.most_output);
-        let likely = tokens.likely_output.map_or(usual.answer_tokens, f64::from);
-        Demand { prompt_tokens: f64::from(tokens.prompt), answer_tokens: likely.min(most) }
+        let max_output = f64::from(tokens.max_output);
+        let expected_output = tokens.expected_output.map_or(usual.answer_tokens, f64::from);
+        Demand {
+            prompt_tokens: f64::from(tokens.prompt),
+            answer_tokens: expected_output.min(max_output),
+        }
     }
 
     /// Urgency, by which admission control ranks requests for the same engines.
@@ -153,7 +156,7 @@
     /// Rank of the request; 0 is the most urgent.
     pub fn priority(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|organisation| organisation.priority);
-        own.unwrap_or(self.route.priority.min(USUAL_PRIORITY))
+        own.unwrap_or(self.route.priority.min(DEFAULT_PRIORITY))
     }
 }
 
@@ -199,7 +202,7 @@
 }
 
 /// Load that a request puts on the engines of its path.
-pub fn shares_of(path: &LayerPath, demand: Demand) -> Vec<Share> {
+pub fn engine_shares(path: &LayerPath, demand: Demand) -> Vec<Share> {
     let share = |part: &PathPart| Share {
         endpoint: part.endpoint.clone(),
         kv: demand.kv_tokens() * part.layers.len() as f64,
--- a/crates/sillbank_gateway/src/lib.rs
+++ b/crates/sillbank_gateway/src/lib.rs
@@ -6,13 +6,13 @@
 //! - [`callers`] admits a request; [`calls`] and [`streams`] carry it out; [`call_book`] keeps how long calls took.
 //! - [`knowledge`] holds what is believed of the platform, [`follow`] keeps it up to date.
 //! - [`lives`] ends what is kept of endpoints that start again, [`unreadable`] tells of entries that name none.
-//! - [`endpoints`] holds what was seen of endpoints, [`doctor`] asks them; [`paths`] chooses among
+//! - [`endpoints`] holds what was seen of endpoints, [`probes`] asks them; [`paths`] chooses among
 //!   engines by the model of `sillbank_engines`.
-//! - [`ends`] tells an endpoint that ended under a request from a connection that broke.
+//! - [`crashes`] tells an endpoint that crashed under a request from a connection that broke.
 //! - [`quarantine`] holds back requests that end their endpoints, [`quarantine_store`] keeps them in the store.
 //! - [`pushback`] keeps what endpoints ask of VMs in their answers, [`limit_parts`] divides their limits among VMs.
 //! - [`revision`] orders states of the store, also across restores from a copy.
-//! - [`repeats`] says whether a request may be sent again.
+//! - [`retry_budget`] says whether a request may be sent again.
 //! - [`load`] says who is let in when not all fit.
 //! - [`feed`] passes knowledge on between VMs, [`hall`] keeps who leads, [`boards`] what leaders tell of
 //!   engines, [`freshness`] says for how long that is enough, [`sources`] who asks the store, [`backoff`] how
@@ -30,14 +30,13 @@
 pub mod call_book;
 pub mod callers;
 pub mod calls;
-pub mod channels;
+pub mod connection_pool;
 pub mod counted_store;
+pub mod crashes;
 pub mod decisions;
 pub mod delivery;
 pub mod demand;
-pub mod doctor;
 pub mod endpoints;
-pub mod ends;
 pub mod events;
 pub mod feed;
 pub mod follow;
@@ -47,28 +46,29 @@
 pub mod hall;
 pub mod job;
 pub mod knowledge;
-pub mod ladder_metrics;
 pub mod lifecycle;
 pub mod limit_parts;
 pub mod lives;
 pub mod load;
 pub mod mechanisms;
 pub mod metrics;
-pub mod operate;
+pub mod ops;
 pub mod paths;
 pub mod placement;
 pub mod plugins;
+pub mod probes;
 pub mod pushback;
 pub mod quarantine;
 pub mod quarantine_store;
-pub mod repeats;
+pub mod retries;
+pub mod retry_budget;
 pub mod revision;
 pub mod sending;
 pub mod settings;
+pub mod shedding_metrics;
 pub mod sources;
 pub mod store;
 pub mod streams;
-pub mod tries;
 pub mod unreadable;
 pub mod vm_limits;
 pub mod wire;
@@ -81,7 +81,8 @@
     pub use crate::settings::GatewaySettings;
     pub use crate::store::{CatalogRead, MetadataStore, QuarantineObject, Snapshot, StoreError};
     pub use crate::wire::{
-        BadHead, CallerHead, EndpointReply, EngineReport, GiveUp, OrderEnd, PlaceOrder, Refusal,
-        ReplyPlace, Sending, StalledRequest, TokenCounts, Unreadable, Wire,
+        CallerHead, EndpointReply, EngineReport, HeaderError, OrderOutcome, PlacementOrder,
+        Refusal, ReleaseMode, ReplyPosition, SendContext, StalledRequest, TokenCounts,
+        UnreadableReply, Wire,
     };
 }
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -122,14 +122,14 @@
         let lapse_end = gateway.knowledge.next_lapse_end();
         smol::Timer::at(lapse_end.map_or(next, |end| end.min(next))).await;
         let now = Instant::now();
-        gateway.channels.sweep(now);
+        gateway.connection_pool.sweep(now);
         for id in gateway.knowledge.on_time(now) {
             tracing::info!(endpoint = id, "endpoint: Not listed again after the outage; evicted.");
-            gateway.channels.forget(&id);
+            gateway.connection_pool.close_idle(&id);
         }
         gateway.knowledge.endpoints(|directory| {
             gateway.book.retain(|id| directory.get(id).is_some());
-            gateway.ends.retain(|id| directory.get(id).is_some());
+            gateway.crashed_endpoints.retain(|id| directory.get(id).is_some());
             gateway.call_book.retain(|id| directory.get(id).is_some());
             gateway.hall.boards.retain(|id| directory.get(id).is_some());
         });
--- a/crates/sillbank_gateway/src/lives.rs
+++ b/crates/sillbank_gateway/src/lives.rs
@@ -4,7 +4,7 @@
 //! else is kept of an endpoint is cleared here when it starts again. What was begun before ends by itself, and
 //! how it ended says nothing of the new life.
 
-use crate::channels::Channel;
+use crate::connection_pool::PooledConnection;
 use crate::feed::HallBoard;
 use crate::gateway::Gateway;
 use crate::wire::Wire;
@@ -37,8 +37,8 @@
         for id in self.knowledge.take_renewed() {
             let newest_life = self.knowledge.endpoints(|directory| directory.newest_life(&id));
             self.book.on_new_life(&id, now);
-            self.channels.forget(&id);
-            self.heard.on_new_life(&id);
+            self.connection_pool.close_idle(&id);
+            self.stream_activity.on_restart(&id);
             self.pushback.borrow_mut().on_new_life(&id);
             self.call_book.retain(|known| known != id);
             self.hall.boards.on_new_life(&id, newest_life);
@@ -48,9 +48,9 @@
     }
 
     /// Keeps a connection after a whole answer, unless the endpoint has started again since it was opened.
-    pub fn keep_channel(&self, endpoint: &str, channel: Channel, reply: &HeaderMap) {
+    pub fn keep_channel(&self, endpoint: &str, channel: PooledConnection, reply: &HeaderMap) {
         if !self.book.renewed_since(endpoint, channel.opened_at) {
-            self.channels.give_back(endpoint, channel, reply, Instant::now());
+            self.connection_pool.put_back(endpoint, channel, reply, Instant::now());
         }
     }
 }
--- a/crates/sillbank_gateway/src/mechanisms.rs
+++ b/crates/sillbank_gateway/src/mechanisms.rs
@@ -39,7 +39,7 @@
     pub forecast_learning: bool,
     /// A VM near one of its limits leaves work to others, and refuses new requests at the limit.
     pub vm_limits: bool,
-    /// Requests that end the endpoints that run them are quarantined.
+    /// Requests that crash the endpoints that run them are quarantined.
     pub quarantine: bool,
     /// Pushback in the answers of endpoints is respected.
     pub pushback: bool,
--- a/crates/sillbank_gateway/src/metrics.rs
+++ b/crates/sillbank_gateway/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and histograms.
 
 use crate::counted_store::StoreCalls;
-use crate::ladder_metrics::LadderMetrics;
+use crate::shedding_metrics::SheddingMetrics;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -107,9 +107,9 @@
     pub unreadable: Family<KindLabel, Counter>,
     /// Endpoints that were found to have restarted under their id.
     pub renewed_endpoints: Counter,
-    /// Endpoints that were found to have ended under requests.
+    /// Endpoints that were found to have crashed under requests.
     pub ended_endpoints: Counter,
-    /// Remembered requests under which endpoints ended.
+    /// Remembered requests under which endpoints crashed.
     pub suspects: Gauge,
     /// Suspects that are quarantined.
     pub quarantined: Gauge,
@@ -138,7 +138,7 @@
     /// Age of the oldest figures among them, in seconds.
     pub fleet_demand_age_s: Family<RateLabel, FractionGauge>,
     /// Admission by priority when not all requests fit.
-    pub ladder: LadderMetrics,
+    pub shedding: SheddingMetrics,
     /// Time to a call's answer or a stream's head, in seconds.
     pub first_answer_s: Family<KindLabel, Histogram, MakeHistogram>,
     /// Time to the end of the answer, in seconds.
@@ -185,7 +185,7 @@
         let demand = Family::default();
         let fleet_demand_per_s = Family::default();
         let fleet_demand_age_s = Family::default();
-        let ladder = LadderMetrics::default();
+        let shedding = SheddingMetrics::default();
         let first_answer_s = Family::new_with_constructor(buckets as MakeHistogram);
         let whole_answer_s = Family::new_with_constructor(buckets as MakeHistogram);
         registry.register("requests", "Requests that ended", requests.clone());
@@ -223,7 +223,7 @@
         registry.register("fleet_demand_per_s", help, fleet_demand_per_s.clone());
         let help = "Age of the fleet's demand";
         registry.register("fleet_demand_age_s", help, fleet_demand_age_s.clone());
-        ladder.register(&mut registry);
+        shedding.register(&mut registry);
         registry.register("first_answer_s", "Time to the first answer", first_answer_s.clone());
         registry.register("whole_answer_s", "Time to the whole answer", whole_answer_s.clone());
         let calls_refused = Family::default();
@@ -270,7 +270,7 @@
             demand,
             fleet_demand_per_s,
             fleet_demand_age_s,
-            ladder,
+            shedding,
             first_answer_s,
             whole_answer_s,
             forecast_first_ratio,
@@ -281,7 +281,7 @@
 
 impl Metrics {
     /// Updates the metrics of buffered bytes.
-    pub fn note_kept(&self, kept: &KeptBytes) {
+    pub fn record_buffered_bytes(&self, kept: &KeptBytes) {
         self.kept_bytes.set(kept.kept_bytes() as i64);
         self.callers_cut.inc_by(kept.cut().saturating_sub(self.callers_cut.get()));
     }
--- a/crates/sillbank_gateway/src/placement/mod.rs
+++ b/crates/sillbank_gateway/src/placement/mod.rs
@@ -12,7 +12,7 @@
 use crate::gateway::Gateway;
 use crate::metrics::KindLabel;
 use crate::store::MetadataStore;
-use crate::wire::{EngineReport, PlaceOrder, Wire};
+use crate::wire::{EngineReport, PlacementOrder, Wire};
 use leadership::Leadership;
 use reports::{ENGINE_CALL_LIMIT, ask};
 use sillbank_catalog::prelude::*;
@@ -205,15 +205,15 @@
 
     fn view(&self, record: &EndpointRecord, now: Instant) -> Option<EngineView> {
         let known = self.known.get(&record.id)?;
-        let order_under_way = known.report.as_ref()?.order_under_way;
+        let order_in_progress = known.report.as_ref()?.order_in_progress;
         let may_come =
-            |at: Instant| order_under_way || now.saturating_duration_since(at) < ORDER_PAUSE;
+            |at: Instant| order_in_progress || now.saturating_duration_since(at) < ORDER_PAUSE;
         Some(EngineView {
             id: record.id.clone(),
             kind: record.accelerator.clone()?,
             serves: self.layers_of(&record.id),
             ordered: known.ordered.filter(|(_, at)| may_come(*at)).map(|(layers, _)| layers),
-            order_under_way,
+            order_in_progress,
         })
     }
 
@@ -261,7 +261,7 @@
             return;
         };
         let layers = target.layers;
-        if report.order_under_way || layers.is_empty() || held == Some(layers) {
+        if report.order_in_progress || layers.is_empty() || held == Some(layers) {
             return;
         }
         let is_pending =
@@ -270,12 +270,15 @@
             return;
         }
         known.ordered = Some((layers, now));
-        let order =
-            PlaceOrder { layers, give_up: target.give_up, expected_orders: report.orders_taken };
+        let order = PlacementOrder {
+            layers,
+            release_mode: target.give_up,
+            expected_orders: report.orders_accepted,
+        };
         let call = W::order_call(&order);
         let ended = self.gateway.engine_calls.call(address, call, ENGINE_CALL_LIMIT).await;
         let end = match &ended {
-            Ok(reply) => W::read_order_end(reply.status).name(),
+            Ok(reply) => W::read_order_outcome(reply.status).name(),
             Err(_) => "no_answer",
         };
         if end == "begun"
--- a/crates/sillbank_gateway/src/placement/targets.rs
+++ b/crates/sillbank_gateway/src/placement/targets.rs
@@ -1,6 +1,6 @@
 //! What the engines of a hall should hold. Pure: what is known of them comes in, targets go out.
 
-use crate::wire::GiveUp;
+use crate::wire::ReleaseMode;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -57,7 +57,7 @@
     /// Layers it was ordered to hold, while that may still come true.
     pub ordered: Option<LayerRange>,
     /// Whether it says that it is carrying out an order.
-    pub order_under_way: bool,
+    pub order_in_progress: bool,
 }
 
 /// Layers that an engine is to hold.
@@ -68,7 +68,7 @@
     /// Layers.
     pub layers: LayerRange,
     /// When it gives up what it holds beside them.
-    pub give_up: GiveUp,
+    pub give_up: ReleaseMode,
 }
 
 /// Which chain each engine of a service belongs to.
@@ -87,14 +87,14 @@
         false => deal(engines, figures, chains),
     };
     if dealt.len() > 1 || !in_pairs {
-        return chain_targets(&dealt, figures, GiveUp::AtOnce);
+        return chain_targets(&dealt, figures, ReleaseMode::AtOnce);
     }
     let members: Vec<PairMember> =
         engines.iter().filter_map(|engine| pair_member(engine, figures)).collect();
     let Some(placed) = place_in_pairs(&members, figures.layers) else {
-        return chain_targets(&dealt, figures, GiveUp::AtOnce);
+        return chain_targets(&dealt, figures, ReleaseMode::AtOnce);
     };
-    let give_up = GiveUp::AtOnce;
+    let give_up = ReleaseMode::AtOnce;
     let targets = placed.into_iter().map(|(endpoint, layers)| Target { endpoint, layers, give_up });
     Some(targets.collect())
 }
@@ -114,7 +114,7 @@
         let targets = moves.into_iter().map(|moved| Target {
             endpoint: moved.endpoint,
             layers: moved.layers,
-            give_up: GiveUp::WhenUnused,
+            give_up: ReleaseMode::WhenUnused,
         });
         return Some(targets.collect());
     }
@@ -123,14 +123,14 @@
         return Some(Vec::new());
     }
     let dealt = deal(engines, figures, chains);
-    chain_targets(&dealt, figures, GiveUp::WhenUnused)
+    chain_targets(&dealt, figures, ReleaseMode::WhenUnused)
 }
 
 /// Whole chains, each planned on its own; `None` if none of them fits.
 fn chain_targets(
     chains: &[Vec<&EngineView>],
     figures: &EngineFigures,
-    give_up: GiveUp,
+    give_up: ReleaseMode,
 ) -> Option<Vec<Target>> {
     let plans: Vec<Vec<Assignment>> =
         chains.iter().filter_map(|chain| plan_chain(chain, figures)).collect();
@@ -250,7 +250,7 @@
         pace: kind.step_factor,
         rooms: rooms(&shape, usual),
         held: engine.ordered.or(engine.serves),
-        is_busy: engine.order_under_way || is_changing,
+        is_busy: engine.order_in_progress || is_changing,
     })
 }
 
--- a/crates/sillbank_gateway/src/plugins.rs
+++ b/crates/sillbank_gateway/src/plugins.rs
@@ -2,12 +2,12 @@
 
 use crate::callers::CallerHandler;
 use crate::gateway::Gateway;
-use crate::operate::{MetricsHandler, ReadyHandler};
+use crate::ops::{MetricsHandler, ReadyHandler};
 use crate::settings::GatewaySettings;
 use crate::store::MetadataStore;
 use crate::wire::Wire;
 use crate::{
-    doctor, feed, follow, lifecycle, placement, pushback, quarantine, quarantine_store, vm_limits,
+    feed, follow, lifecycle, placement, probes, pushback, quarantine, quarantine_store, vm_limits,
 };
 use sillbank_core::chance::Chance;
 use sillbank_net::prelude::*;
@@ -103,8 +103,8 @@
     fn build(self, app: &App<Gateway<W, S>>) {
         app.spawn(lifecycle::reload(app.state(), self.reload, self.settings_path));
         app.spawn(lifecycle::sweep(app.state()));
-        app.spawn(vm_limits::watch_limits(app.state()));
-        app.spawn(doctor::probe_lost(app.state()));
+        app.spawn(vm_limits::monitor_limits(app.state()));
+        app.spawn(probes::probe_ejected(app.state()));
         app.spawn(quarantine::pass_time(app.state()));
         app.spawn(pushback::pass_time(app.state()));
         app.spawn(quarantine_store::follow_quarantine(app.state()));
--- a/crates/sillbank_gateway/src/doctor.rs
+++ b/crates/sillbank_gateway/src/probes.rs
@@ -84,7 +84,7 @@
 /// Selects the lost engines of a path from probes made at the same time. An engine that refused is
 /// lost. A silent one is lost only if most others answered; otherwise this VM is more likely to be
 /// cut off or slow.
-pub fn lost_by_probes(probes: &[(EndpointId, Probe)]) -> Vec<(EndpointId, Probe)> {
+pub fn lost_engines(probes: &[(EndpointId, Probe)]) -> Vec<(EndpointId, Probe)> {
     let answered = probes.iter().filter(|(_, probe)| *probe == Probe::Answered).count();
     let majority_answered = answered * 2 > probes.len();
     let is_lost = |probe: Probe| match probe {
@@ -109,7 +109,7 @@
     silent_for: Duration,
 ) -> Vec<(EndpointId, Probe)> {
     let since = evidence_since(Instant::now(), silent_for);
-    let confirmed = gateway.heard.engines_since(since);
+    let confirmed = gateway.stream_activity.engines_since(since);
     let mut probes: Vec<(EndpointId, Probe)> = Vec::new();
     let mut pending = Vec::new();
     for part in path.parts() {
@@ -128,9 +128,10 @@
         }
         probes.push((endpoint, probe));
     }
-    lost_by_probes(&probes)
+    lost_engines(&probes)
 }
 
+/// Probes one engine.
 async fn probe_once<W: Wire, S: MetadataStore>(
     gateway: Rc<Gateway<W, S>>,
     endpoint: EndpointId,
@@ -157,7 +158,7 @@
 }
 
 /// Probes ejected engines when they are due, and uses those that answer again.
-pub async fn probe_lost<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
+pub async fn probe_ejected<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
         smol::Timer::after(PROBE_INTERVAL).await;
         for id in gateway.book.due_for_probe(Instant::now()) {
@@ -171,6 +172,7 @@
     }
 }
 
+/// Asks an ejected engine for its report and records the result as evidence.
 async fn probe_ejected_engine<W: Wire, S: MetadataStore>(
     gateway: Rc<Gateway<W, S>>,
     engine: EndpointRecord,
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -4,8 +4,8 @@
 //! ask, leaders tell the VMs of their hall and each other with each answer; the store keeps what is one end short
 //! of being held back, so that it outlasts all VMs and passes between halls that do not reach each other.
 
+use crate::crashes::BrokenSend;
 use crate::decisions::describe_fingerprint;
-use crate::ends::BrokenSend;
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::store::MetadataStore;
@@ -22,7 +22,7 @@
     /// An endpoint ended under a request. Its end is laid to those that were in their beginning there.
     pub fn on_ended_under(&self, job: &Job, send: &BrokenSend) {
         let is_beginning = send.ran_for().is_none_or(|ran| ran < BEGINNING);
-        self.decisions.ended_under(job, send, is_beginning);
+        self.decisions.endpoint_crashed(job, send, is_beginning);
         if !is_beginning {
             return;
         }
--- a/crates/sillbank_gateway/src/tries.rs
+++ b/crates/sillbank_gateway/src/retries.rs
@@ -14,7 +14,7 @@
 
 /// What is known of the request's execution after a send that brought no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Left {
+pub enum SendFailureKind {
     /// The request reached no endpoint.
     NotSent,
     /// The endpoint proved that it did not run the request.
@@ -27,35 +27,35 @@
 
 /// Failed sends of one request so far.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct SendAttempts {
     unreached: u32,
     misdirected: u32,
 }
 
-impl Tries {
+impl SendAttempts {
     /// Counts a send of the request.
-    pub fn begin(&self, job: &Job) {
+    pub fn record_send(&self, job: &Job) {
         job.sends.set(job.sends.get() + 1);
     }
 
     /// Whether the request may be sent again; if so, the retry is taken from the budget.
-    pub fn goes_on<W: Wire, S: MetadataStore>(
+    pub fn may_retry<W: Wire, S: MetadataStore>(
         &mut self,
         gateway: &Gateway<W, S>,
         job: &Job,
-        left: Left,
+        kind: SendFailureKind,
     ) -> bool {
-        if left != Left::NotSent && gateway.held_back(job).is_some() {
+        if kind != SendFailureKind::NotSent && gateway.held_back(job).is_some() {
             return false;
         }
-        match left {
-            Left::NotSent => {
+        match kind {
+            SendFailureKind::NotSent => {
                 // The request reached no endpoint, so another send is no retry.
                 job.sends.set(job.sends.get() - 1);
                 self.unreached += 1;
                 self.unreached < MAX_UNREACHED_SENDS
             }
-            Left::Misdirected => {
+            SendFailureKind::Misdirected => {
                 // The endpoint could not have run the request. If this counted as one of the
                 // route's sends, streams that meet two engines which have restarted, and whose
                 // entries say so only later, would be broken off.
@@ -63,8 +63,8 @@
                 self.misdirected += 1;
                 self.misdirected < MAX_MISDIRECTED_SENDS && gateway.may_send_again(job)
             }
-            Left::NotRun => gateway.may_send_again(job),
-            Left::MayHaveRun => job.may_repeat() && gateway.may_send_again(job),
+            SendFailureKind::NotRun => gateway.may_send_again(job),
+            SendFailureKind::MayHaveRun => job.is_idempotent() && gateway.may_send_again(job),
         }
     }
 }
--- a/crates/sillbank_gateway/src/repeats.rs
+++ b/crates/sillbank_gateway/src/retry_budget.rs
@@ -16,13 +16,13 @@
 
 impl<W: Wire, S> Gateway<W, S> {
     /// Counts the first send of a service's request.
-    pub fn count_first_send(&self, service: &str) {
+    pub fn record_first_send(&self, service: &str) {
         self.metrics.sends.get_or_create(&KindLabel { kind: "first" }).inc();
         self.with_budget(service, |budget, now| budget.on_first(now));
     }
 
     /// Takes a retry from a service's budget. Returns false if the budget is used up.
-    pub fn try_repeat(&self, service: &str) -> bool {
+    pub fn try_retry(&self, service: &str) -> bool {
         let is_allowed = self.with_budget(service, |budget, now| budget.try_repeat(now));
         match is_allowed {
             true => self.metrics.sends.get_or_create(&KindLabel { kind: "repeat" }).inc(),
@@ -34,7 +34,7 @@
     /// Whether a request that was sent before may be sent again; if so, the retry is taken from the
     /// budget.
     pub fn may_send_again(&self, job: &Job) -> bool {
-        job.may_send_again(Instant::now()) && self.try_repeat(&job.service.name)
+        job.may_send_again(Instant::now()) && self.try_retry(&job.service.name)
     }
 
     /// Upper estimate of the number of VMs in the fleet.
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -1,13 +1,13 @@
 //! Sends a request to an endpoint once and waits for the head of the reply.
 
-use crate::answers::is_promise;
-use crate::channels::Channel;
+use crate::answers::guarantees_not_run;
+use crate::connection_pool::PooledConnection;
 use crate::endpoints::Evidence;
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::metrics::KindLabel;
 use crate::store::MetadataStore;
-use crate::wire::{EndpointReply, Refusal, ReplyPlace, Wire};
+use crate::wire::{EndpointReply, Refusal, ReplyPosition, Wire};
 use bytes::BytesMut;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Response;
@@ -32,11 +32,11 @@
 
 /// Result of a send.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The endpoint ran the request and succeeded; the body is still to be read.
-    Success(Response<Incoming>, Channel),
+    Success(Response<Incoming>, PooledConnection),
     /// The endpoint failed; the body is still to be read.
-    Failure(Response<Incoming>, Channel),
+    Failure(Response<Incoming>, PooledConnection),
     /// The endpoint proved that it did not run the request.
     NotRun(Refusal),
     /// No byte of the request was sent; holds the reason.
@@ -52,78 +52,79 @@
     job: &Job,
     to: Destination<'_>,
     resume_after: Option<u64>,
-) -> Sent {
+) -> SendOutcome {
     loop {
-        let channel = match gateway.channels.take(to.endpoint, to.address, Instant::now()) {
-            Some(channel) => channel,
-            None => match gateway.channels.open(to.address).await {
-                Ok(channel) => channel,
-                Err(error) => return Sent::NotSent(format!("no connection: {error}")),
+        let connection = match gateway.connection_pool.take(to.endpoint, to.address, Instant::now())
+        {
+            Some(connection) => connection,
+            None => match gateway.connection_pool.open(to.address).await {
+                Ok(connection) => connection,
+                Err(error) => return SendOutcome::NotSent(format!("no connection: {error}")),
             },
         };
-        let is_reused = channel.reused;
+        let is_reused = connection.reused;
         let kind = KindLabel { kind: if is_reused { "reused" } else { "new" } };
         gateway.metrics.connections.get_or_create(&kind).inc();
-        match exchange(gateway, job, to, resume_after, channel).await {
+        match exchange(gateway, job, to, resume_after, connection).await {
             // The endpoint had closed the idle connection, so nothing of the request was sent.
-            Sent::NotSent(_) if is_reused => {}
+            SendOutcome::NotSent(_) if is_reused => {}
             sent => return sent,
         }
     }
 }
 
+/// Sends a request over a connection and waits for the head of the reply.
 async fn exchange<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
     to: Destination<'_>,
     resume_after: Option<u64>,
-    mut channel: Channel,
-) -> Sent {
+    mut connection: PooledConnection,
+) -> SendOutcome {
     let sent_at = Instant::now();
     let request = job.request_for::<W>(to.endpoint, to.path, resume_after, sent_at);
-    job.note_run(RunLog::sent);
-    let reply = match channel.connection.sender.try_send_request(request).await {
+    job.update_run(RunLog::sent);
+    let reply = match connection.inner.sender.try_send_request(request).await {
         Ok(reply) => reply,
         Err(mut error) => {
             let reason = error.error().to_string();
             return match error.take_message() {
                 Some(_) => {
-                    job.note_run(RunLog::refused);
-                    Sent::NotSent(reason)
+                    job.update_run(RunLog::refused);
+                    SendOutcome::NotSent(reason)
                 }
-                None => Sent::Lost(reason),
+                None => SendOutcome::Lost(reason),
             };
         }
     };
-    let position = match channel.reused {
-        true => ReplyPlace::AfterOthers,
-        false => ReplyPlace::First,
+    let position = match connection.reused {
+        true => ReplyPosition::AfterOthers,
+        false => ReplyPosition::First,
     };
     let parsed = W::read_reply(reply.status(), reply.headers(), &job.head.request_id, position);
-    if parsed != EndpointReply::Foreign {
+    if parsed != EndpointReply::Unmatched {
         let pushback = W::read_pushback(reply.status(), reply.headers());
         gateway.on_pushback(to.endpoint, pushback, sent_at);
     }
     match parsed {
         EndpointReply::Success => {
-            job.note_run(RunLog::ran);
-            Sent::Success(reply, channel)
+            job.update_run(RunLog::ran);
+            SendOutcome::Success(reply, connection)
         }
-        EndpointReply::Failure if is_promise(reply.status().as_u16()) => Sent::Lost(format!(
-            "status {} without a proof that it was not run",
-            reply.status().as_u16()
-        )),
+        EndpointReply::Failure if guarantees_not_run(reply.status().as_u16()) => SendOutcome::Lost(
+            format!("status {} without a proof that it was not run", reply.status().as_u16()),
+        ),
         EndpointReply::Failure => {
-            job.note_run(RunLog::ran);
-            Sent::Failure(reply, channel)
+            job.update_run(RunLog::ran);
+            SendOutcome::Failure(reply, connection)
         }
         EndpointReply::NotRun(refusal) => {
-            job.note_run(RunLog::refused);
+            job.update_run(RunLog::refused);
             let endpoint = to.endpoint.to_owned();
-            drain_refusal(gateway, endpoint, reply, channel).await;
-            Sent::NotRun(refusal)
+            drain_refusal(gateway, endpoint, reply, connection).await;
+            SendOutcome::NotRun(refusal)
         }
-        EndpointReply::Foreign => Sent::Lost(format!(
+        EndpointReply::Unmatched => SendOutcome::Lost(format!(
             "a reply with status {} that does not belong to the request",
             reply.status().as_u16()
         )),
@@ -133,33 +134,34 @@
 /// Maximum body size of a refusal that is read to keep its connection.
 const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
+/// Reads the body of a refusal and returns the connection to the pool.
 async fn drain_refusal<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     endpoint: String,
     reply: Response<Incoming>,
-    channel: Channel,
+    connection: PooledConnection,
 ) {
     let (head, body) = reply.into_parts();
     if Limited::new(body, MAX_REFUSAL_BYTES).collect().await.is_ok() {
-        gateway.keep_channel(&endpoint, channel, &head.headers);
+        gateway.keep_channel(&endpoint, connection, &head.headers);
     }
 }
 
 /// What the result of a send says about the endpoint's health.
-pub fn evidence_of(sent: &Sent) -> Option<Evidence> {
+pub fn health_evidence(sent: &SendOutcome) -> Option<Evidence> {
     match sent {
-        Sent::Success(..) => Some(Evidence::Good),
+        SendOutcome::Success(..) => Some(Evidence::Good),
         // A lost reply is weak evidence: the endpoint may lose replies and still run every request.
-        Sent::Failure(..) | Sent::Lost(_) => Some(Evidence::Failed),
-        Sent::NotSent(_) => Some(Evidence::Unreachable),
+        SendOutcome::Failure(..) | SendOutcome::Lost(_) => Some(Evidence::Failed),
+        SendOutcome::NotSent(_) => Some(Evidence::Unreachable),
         // A full endpoint is healthy.
-        Sent::NotRun(_) => None,
+        SendOutcome::NotRun(_) => None,
     }
 }
 
 /// A reply that was read completely.
 #[derive(Debug)]
-pub struct WholeReply {
+pub struct BufferedReply {
     /// The reply, ready to be sent to the caller.
     pub reply: Response<ReplyBody>,
     /// The head as received; it says whether the connection stays open.
@@ -172,11 +174,11 @@
 ///
 /// # Errors
 /// The reason why the reply could not be read completely.
-pub async fn read_whole(
+pub async fn buffer_reply(
     reply: Response<Incoming>,
     limit_bytes: usize,
     kept: &KeptBytes,
-) -> Result<WholeReply, String> {
+) -> Result<BufferedReply, String> {
     let out_of_memory = || "the VM keeps no more for its callers".to_owned();
     let mut kept = kept.try_keep(0).ok_or_else(out_of_memory)?;
     let (head, body) = reply.into_parts();
@@ -192,11 +194,11 @@
         buffer.extend_from_slice(&data);
     }
     let reply = Response::from_parts(head, ReplyBody::Whole(Full::new(buffer.freeze())));
-    Ok(WholeReply { reply: caller_head(reply), head: headers, kept })
+    Ok(BufferedReply { reply: strip_reply_headers(reply), head: headers, kept })
 }
 
 /// Removes hop-by-hop headers from a reply.
-pub fn caller_head(mut reply: Response<ReplyBody>) -> Response<ReplyBody> {
+pub fn strip_reply_headers(mut reply: Response<ReplyBody>) -> Response<ReplyBody> {
     crate::job::strip_connection_headers(reply.headers_mut());
     reply
 }
--- a/crates/sillbank_gateway/src/ladder_metrics.rs
+++ b/crates/sillbank_gateway/src/shedding_metrics.rs
@@ -11,7 +11,7 @@
 
 /// Labels of requests that asked for admission.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct AskedLabel {
+pub struct AdmissionLabel {
     /// Service.
     pub service: String,
     /// Rank of the organisation, or the default; 15 holds all that are less urgent.
@@ -29,16 +29,16 @@
 
 /// Metrics of priority admission.
 #[derive(Debug, Default)]
-pub struct LadderMetrics {
+pub struct SheddingMetrics {
     /// Requests that asked for admission.
-    pub asked: Family<AskedLabel, Counter>,
+    pub asked: Family<AdmissionLabel, Counter>,
     /// Estimated utilisation of the engines, from 0 to 1.
     pub fullness: Family<ServiceLabel, FractionGauge>,
     /// Share of all requests that this VM admits, from 0 to 1.
     pub share: Family<ServiceLabel, FractionGauge>,
 }
 
-impl LadderMetrics {
+impl SheddingMetrics {
     /// Registers the metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("ladder_asked", "Requests that asked to be let in", self.asked.clone());
@@ -47,20 +47,20 @@
     }
 
     /// Counts the result of a request for admission.
-    pub fn on_asked(&self, service: &str, urgency: Urgency, answer: Result<(), NotLetIn>) {
-        let end = match answer {
+    pub fn record_admission(&self, service: &str, urgency: Urgency, result: Result<(), NotLetIn>) {
+        let end = match result {
             Ok(()) => "let_in",
             Err(NotLetIn { is_late: false, .. }) => "refused_rank",
             Err(NotLetIn { is_late: true, .. }) => "refused_late",
         };
         let rank = counted_rank(urgency.organisation);
-        self.asked.get_or_create(&AskedLabel { service: service.to_owned(), rank, end }).inc();
+        self.asked.get_or_create(&AdmissionLabel { service: service.to_owned(), rank, end }).inc();
     }
 
     /// Publishes the estimate that this VM decides by.
-    pub fn show(&self, service: &str, believed: Believed) {
+    pub fn set_estimate(&self, service: &str, estimate: Believed) {
         let label = ServiceLabel { service: service.to_owned() };
-        self.fullness.get_or_create(&label).set(believed.fullness);
-        self.share.get_or_create(&label).set(believed.share);
+        self.fullness.get_or_create(&label).set(estimate.fullness);
+        self.share.get_or_create(&label).set(estimate.share);
     }
 }
--- a/crates/sillbank_gateway/src/streams/heard.rs
+++ b/crates/sillbank_gateway/src/streams/activity.rs
@@ -14,10 +14,10 @@
 type StreamNumber = u64;
 
 #[derive(Debug)]
-struct Heard {
+struct Activity {
     /// Engines on the stream's path that its events confirm.
     engines: BTreeSet<EndpointId>,
-    at: Instant,
+    last_event_at: Instant,
 }
 
 fn engines_of(path: &LayerPath) -> BTreeSet<EndpointId> {
@@ -26,60 +26,60 @@
 
 /// Streams in progress, with the time of each one's last event.
 #[derive(Debug, Default)]
-pub struct HeardStreams {
-    streams: RefCell<BTreeMap<StreamNumber, Heard>>,
+pub struct StreamActivity {
+    streams: RefCell<BTreeMap<StreamNumber, Activity>>,
     last_number: Cell<StreamNumber>,
 }
 
 /// Registration of one stream in [`StreamActivity`]; removed on drop.
 #[derive(Debug)]
-pub struct HeardStream {
-    all: Rc<HeardStreams>,
+pub struct ActiveStream {
+    all: Rc<StreamActivity>,
     number: StreamNumber,
 }
 
-impl HeardStreams {
+impl StreamActivity {
     /// Registers a stream that has just received data.
-    pub fn begin(self: &Rc<Self>, path: &LayerPath, now: Instant) -> HeardStream {
+    pub fn register(self: &Rc<Self>, path: &LayerPath, now: Instant) -> ActiveStream {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
-        let heard = Heard { engines: engines_of(path), at: now };
-        self.streams.borrow_mut().insert(number, heard);
-        HeardStream { all: self.clone(), number }
+        let activity = Activity { engines: engines_of(path), last_event_at: now };
+        self.streams.borrow_mut().insert(number, activity);
+        ActiveStream { all: self.clone(), number }
     }
 
     /// Engines on the paths of streams that received data at `since` or later.
     pub fn engines_since(&self, since: Instant) -> BTreeSet<EndpointId> {
         let streams = self.streams.borrow();
-        let lively = streams.values().filter(|heard| heard.at >= since);
-        lively.flat_map(|heard| heard.engines.iter().cloned()).collect()
+        let recent = streams.values().filter(|activity| activity.last_event_at >= since);
+        recent.flat_map(|activity| activity.engines.iter().cloned()).collect()
     }
 
     /// An engine has restarted: streams that were opened or moved before no longer confirm it.
-    pub fn on_new_life(&self, engine: &str) {
-        for heard in self.streams.borrow_mut().values_mut() {
-            heard.engines.remove(engine);
+    pub fn on_restart(&self, engine: &str) {
+        for activity in self.streams.borrow_mut().values_mut() {
+            activity.engines.remove(engine);
         }
     }
 }
 
-impl HeardStream {
+impl ActiveStream {
     /// Records an event of the stream.
     pub fn on_event(&self, now: Instant) {
-        if let Some(heard) = self.all.streams.borrow_mut().get_mut(&self.number) {
-            heard.at = now;
+        if let Some(activity) = self.all.streams.borrow_mut().get_mut(&self.number) {
+            activity.last_event_at = now;
         }
     }
 
     /// The stream takes another path from now on; the time of its last event stays.
     pub fn on_moved(&self, path: &LayerPath) {
-        if let Some(heard) = self.all.streams.borrow_mut().get_mut(&self.number) {
-            heard.engines = engines_of(path);
+        if let Some(activity) = self.all.streams.borrow_mut().get_mut(&self.number) {
+            activity.engines = engines_of(path);
         }
     }
 }
 
-impl Drop for HeardStream {
+impl Drop for ActiveStream {
     fn drop(&mut self) {
         self.all.streams.borrow_mut().remove(&self.number);
     }
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -2,15 +2,15 @@
 
 use super::loss::{ActiveRoute, Loss, SilenceTimer, detect_loss, move_request};
 use super::target::Target;
-use crate::channels::Channel;
+use crate::connection_pool::PooledConnection;
+use crate::crashes::BrokenSend;
 use crate::endpoints::{Evidence, InFlight, Share};
-use crate::ends::BrokenSend;
 use crate::events::EventSplitter;
 use crate::gateway::Gateway;
-use crate::job::{Job, shares_of};
-use crate::sending::{Destination, Sent, read_whole, send};
+use crate::job::{Job, engine_shares};
+use crate::retries::SendFailureKind;
+use crate::sending::{Destination, SendOutcome, buffer_reply, send};
 use crate::store::MetadataStore;
-use crate::tries::Left;
 use crate::wire::{EventNumber, Wire};
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
@@ -31,7 +31,7 @@
 pub(super) struct Upstream {
     pub(super) body: Incoming,
     pub(super) head: HeaderMap,
-    pub(super) channel: Channel,
+    pub(super) connection: PooledConnection,
     pub(super) path: Option<LayerPath>,
     pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
@@ -83,17 +83,20 @@
 pub(super) struct FailedAttempt {
     pub(super) endpoint: EndpointId,
     pub(super) at_fault: Option<EndpointId>,
-    pub(super) kind: Left,
+    pub(super) kind: SendFailureKind,
     /// Whether the connection to the first endpoint ended before a reply arrived.
     pub(super) is_broken: bool,
     pub(super) reason: String,
 }
 
+/// Result of one send of a stream's request.
 pub(super) enum AttemptResult {
     Replied(UpstreamReply),
     Failed(FailedAttempt),
 }
 
+/// Sends a stream's request to a target once. While the reply is awaited, the request may be moved
+/// around lost engines.
 pub(super) async fn send_once<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
@@ -102,7 +105,7 @@
 ) -> AttemptResult {
     let sent_at = Instant::now();
     let shares = match (&target.path, &job.service.engine) {
-        (Some(path), Some(figures)) => shares_of(path, job.demand(figures)),
+        (Some(path), Some(figures)) => engine_shares(path, job.demand(figures)),
         _ => vec![Share { endpoint: target.endpoint.clone(), kv: 0.0 }],
     };
     let in_flight = gateway.book.begin(shares, sent_at);
@@ -122,16 +125,16 @@
     match sent {
         Err(loss) => {
             let at_fault = loss.engines.into_iter().next();
-            failed(at_fault, Left::MayHaveRun, loss.reason)
+            failed(at_fault, SendFailureKind::MayHaveRun, loss.reason)
         }
-        Ok(Sent::Success(reply, channel)) => {
-            gateway.on_evidence(&endpoint, Evidence::Good, sent_at, "a stream");
+        Ok(SendOutcome::Success(reply, connection)) => {
+            gateway.on_evidence(&endpoint, Evidence::Good, sent_at, "a stream was opened");
             let status = reply.status();
             let (head, body) = reply.into_parts();
             let upstream = Upstream {
                 body,
                 head: head.headers,
-                channel,
+                connection,
                 path: target.path,
                 endpoint: target.endpoint,
                 address: target.address,
@@ -143,22 +146,22 @@
             };
             AttemptResult::Replied(UpstreamReply::Stream(Box::new(upstream), status))
         }
-        Ok(Sent::Failure(reply, channel)) => {
-            gateway.on_evidence(&endpoint, Evidence::Failed, sent_at, "a stream");
+        Ok(SendOutcome::Failure(reply, connection)) => {
+            gateway.on_evidence(&endpoint, Evidence::Failed, sent_at, "a stream failed to open");
             let status = reply.status();
-            if job.may_repeat() && job.may_send_again(Instant::now()) {
+            if job.is_idempotent() && job.may_send_again(Instant::now()) {
                 let reason = format!("the endpoint failed with status {}", status.as_u16());
-                return failed(None, Left::MayHaveRun, reason);
+                return failed(None, SendFailureKind::MayHaveRun, reason);
             }
-            match read_whole(reply, MAX_FAILURE_BYTES, &gateway.kept).await {
-                Ok(whole) => {
-                    gateway.keep_channel(&endpoint, channel, &whole.head);
-                    AttemptResult::Replied(UpstreamReply::Failure(whole.reply))
+            match buffer_reply(reply, MAX_FAILURE_BYTES, &gateway.kept).await {
+                Ok(buffered) => {
+                    gateway.keep_channel(&endpoint, connection, &buffered.head);
+                    AttemptResult::Replied(UpstreamReply::Failure(buffered.reply))
                 }
-                Err(reason) => failed(None, Left::MayHaveRun, reason),
+                Err(reason) => failed(None, SendFailureKind::MayHaveRun, reason),
             }
         }
-        Ok(Sent::NotRun(refusal)) => {
+        Ok(SendOutcome::NotRun(refusal)) => {
             let at_fault = refusal
                 .at_fault
                 .and_then(|address| Some(target.path.as_ref()?.at(address)?.endpoint.clone()));
@@ -170,16 +173,20 @@
             if refusal.misdirected || at_fault.is_some() {
                 gateway.on_evidence(blamed, Evidence::LacksPart, sent_at, &reason);
             }
-            let kind = if refusal.misdirected { Left::Misdirected } else { Left::NotRun };
+            let kind = if refusal.misdirected {
+                SendFailureKind::Misdirected
+            } else {
+                SendFailureKind::NotRun
+            };
             failed(at_fault, kind, reason)
         }
-        Ok(Sent::NotSent(reason)) => {
+        Ok(SendOutcome::NotSent(reason)) => {
             gateway.on_evidence(&endpoint, Evidence::Unreachable, sent_at, &reason);
-            failed(None, Left::NotSent, reason)
+            failed(None, SendFailureKind::NotSent, reason)
         }
-        Ok(Sent::Lost(reason)) => {
+        Ok(SendOutcome::Lost(reason)) => {
             gateway.on_evidence(&endpoint, Evidence::Failed, sent_at, &reason);
-            let (at_fault, kind) = (None, Left::MayHaveRun);
+            let (at_fault, kind) = (None, SendFailureKind::MayHaveRun);
             AttemptResult::Failed(FailedAttempt {
                 endpoint,
                 at_fault,
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -1,13 +1,13 @@
 //! Detects lost engines on the path of a running request and moves the request around them.
 
-use crate::doctor::{Diagnosis, Probe, diagnose, probe_path, silence_means_loss};
 use crate::endpoints::Evidence;
 use crate::gateway::Gateway;
 use crate::job::{Job, path_ask};
 use crate::metrics::KindLabel;
 use crate::paths::choose_mended_path;
+use crate::probes::{Diagnosis, Probe, diagnose, probe_path, silence_means_loss};
 use crate::store::MetadataStore;
-use crate::wire::{OrderEnd, Wire};
+use crate::wire::{OrderOutcome, Wire};
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
 use sillbank_layers::prelude::*;
@@ -177,6 +177,7 @@
     }
 }
 
+/// Engines of a path that were ejected or have restarted since a moment.
 fn ejected_or_restarted<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     path: &LayerPath,
@@ -249,14 +250,14 @@
     let repaired = repaired_path(gateway, job, active_route.path?, &loss.engines)?;
     let call = W::move_call(&job.head.request_id, &repaired);
     let reply = gateway.engine_calls.call(active_route.address, call, MOVE_TIMEOUT).await;
-    let end = match &reply {
-        Ok(reply) => W::read_order_end(reply.status),
-        Err(_) => OrderEnd::Refused,
+    let outcome = match &reply {
+        Ok(reply) => W::read_order_outcome(reply.status),
+        Err(_) => OrderOutcome::Refused,
     };
-    let is_moved = matches!(end, OrderEnd::Begun | OrderEnd::Done);
-    gateway.metrics.moves.get_or_create(&KindLabel { kind: end.name() }).inc();
+    let is_moved = matches!(outcome, OrderOutcome::Started | OrderOutcome::Done);
+    gateway.metrics.moves.get_or_create(&KindLabel { kind: outcome.name() }).inc();
     let stamp = gateway.knowledge.stamp(Instant::now());
-    gateway.decisions.moved(job, &loss.engines, &repaired, end, stamp);
+    gateway.decisions.moved(job, &loss.engines, &repaired, outcome, stamp);
     is_moved.then_some(repaired)
 }
 
--- a/crates/sillbank_gateway/src/streams/mod.rs
+++ b/crates/sillbank_gateway/src/streams/mod.rs
@@ -1,21 +1,21 @@
 //! Streams: opened on a path, relayed event by event, resumed on another path when the first one
 //! breaks.
 
+mod activity;
 mod attempt;
-mod heard;
 mod loss;
 mod open;
 mod relay;
 mod target;
 
-pub use heard::{HeardStream, HeardStreams};
+pub use activity::{ActiveStream, StreamActivity};
 pub use loss::{Silence, SilenceTimer};
 
-use crate::answers::{out_of_time, outcome_of, reply_of};
+use crate::answers::{deadline_failure, failure_outcome, failure_response};
 use crate::decisions::Outcome;
 use crate::gateway::Gateway;
 use crate::job::Job;
-use crate::sending::caller_head;
+use crate::sending::strip_reply_headers;
 use crate::store::MetadataStore;
 use crate::wire::Wire;
 use attempt::UpstreamReply;
@@ -35,7 +35,7 @@
     let mut guard = StreamGuard::new(gateway, job);
     let timeout = async {
         smol::Timer::at(job.deadline).await;
-        Err(out_of_time(job.run.get()))
+        Err(deadline_failure(job.run.get()))
     };
     match futures_lite::future::or(open_stream(gateway, job, None, Vec::new()), timeout).await {
         Ok(UpstreamReply::Stream(upstream, status)) => {
@@ -54,7 +54,7 @@
                 events: 0,
             };
             gateway.executor.spawn(relay.run(*upstream, guard)).detach();
-            caller_head(reply)
+            strip_reply_headers(reply)
         }
         Ok(UpstreamReply::Failure(reply)) => {
             guard.end(Outcome::Answered, reply.status().as_u16(), 0, "the endpoint's own failure");
@@ -62,8 +62,8 @@
         }
         Err(failure) => {
             let status = failure.kind.http_status();
-            guard.end(outcome_of(&failure), status, 0, &failure.reason);
-            reply_of::<W>(&failure)
+            guard.end(failure_outcome(&failure), status, 0, &failure.reason);
+            failure_response::<W>(&failure)
         }
     }
 }
--- a/crates/sillbank_gateway/src/streams/open.rs
+++ b/crates/sillbank_gateway/src/streams/open.rs
@@ -2,14 +2,14 @@
 
 use super::attempt::{AttemptResult, UpstreamReply, send_once};
 use super::target::{NoTarget, choose_target};
-use crate::answers::{COME_BACK_UNINFORMED, give_up, not_before};
-use crate::decisions::SendEnd;
-use crate::ends::{BrokenSend, on_broken_send};
+use crate::answers::{RETRY_AFTER_NOT_READY, final_failure, with_min_retry_after};
+use crate::crashes::{BrokenSend, check_broken_send};
+use crate::decisions::FailedSend;
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::load::LoadAsk;
+use crate::retries::SendAttempts;
 use crate::store::MetadataStore;
-use crate::tries::Tries;
 use crate::wire::{EventNumber, Wire};
 use sillbank_core::prelude::*;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     resume_after: Option<EventNumber>,
     mut avoid: Vec<EndpointId>,
 ) -> Result<UpstreamReply, Failure> {
-    let mut tries = Tries::default();
+    let mut attempts = SendAttempts::default();
     // A request that was sent before passed admission control then, even if none of its events
     // arrived.
     let is_first_send = resume_after.is_none() && job.sends.get() == 0;
@@ -39,24 +39,24 @@
             Ok(target) => target,
             Err(NoTarget::Withheld) => {
                 let failure = refuse(gateway, job, NoTarget::Withheld.text());
-                return Err(not_before(failure, retry_after));
+                return Err(with_min_retry_after(failure, retry_after));
             }
             // A stream that has started waits until another engine is usable: giving up would lose
-            // it, and its request is less likely to be the cause of the endpoint's end than to have
+            // it, and its request is less likely to be the cause of the endpoint's crash than to have
             // been there by chance.
-            Err(NoTarget::KeptApart(remaining)) if job.run.get().not_run_evidence().is_none() => {
+            Err(NoTarget::Isolated(remaining)) if job.run.get().not_run_evidence().is_none() => {
                 smol::Timer::after(remaining.min(ENGINE_POLL_INTERVAL)).await;
                 continue;
             }
-            Err(NoTarget::KeptApart(remaining)) => {
-                let failure = refuse(gateway, job, NoTarget::KeptApart(remaining).text());
-                return Err(not_before(failure, Some(remaining)));
+            Err(NoTarget::Isolated(remaining)) => {
+                let failure = refuse(gateway, job, NoTarget::Isolated(remaining).text());
+                return Err(with_min_retry_after(failure, Some(remaining)));
             }
             Err(reason) => {
                 return Err(refuse(gateway, job, reason.text()));
             }
         };
-        tries.begin(job);
+        attempts.record_send(job);
         gateway.count_against_limit(&target.endpoint);
         let sent_at = Instant::now();
         let stamp = gateway.knowledge.stamp(sent_at);
@@ -71,7 +71,7 @@
         };
         gateway.decisions.send_failed(
             job,
-            &SendEnd {
+            &FailedSend {
                 endpoint: &failed.endpoint,
                 at_fault: failed.at_fault.as_deref(),
                 run: job.run.get().state(),
@@ -83,10 +83,10 @@
             let endpoint = failed.endpoint.clone();
             let broke_at = Instant::now();
             let send = BrokenSend { endpoint, address, sent_at, broke_at, first_event_at: None };
-            on_broken_send(gateway, job, send).await;
+            check_broken_send(gateway, job, send).await;
         }
         avoid.push(failed.at_fault.unwrap_or(failed.endpoint));
-        let may_retry = tries.may_retry(gateway, job, failed.kind);
+        let may_retry = attempts.may_retry(gateway, job, failed.kind);
         if !may_retry {
             return Err(refuse(gateway, job, &failed.reason));
         }
@@ -114,10 +114,10 @@
         draw: gateway.chance.fraction(),
     };
     let admitted = gateway.load.admit(gateway.views(Instant::now()), ask);
-    let metrics = &gateway.metrics.ladder;
-    metrics.on_asked(&job.service.name, ask.urgency, admitted);
-    if let Some(believed) = gateway.load.believed(&job.service.name) {
-        metrics.show(&job.service.name, believed);
+    let metrics = &gateway.metrics.shedding;
+    metrics.record_admission(&job.service.name, ask.urgency, admitted);
+    if let Some(estimate) = gateway.load.believed(&job.service.name) {
+        metrics.set_estimate(&job.service.name, estimate);
     }
     admitted.map_err(|refusal| match refusal.is_late {
         true => "no room for its rank, and it comes too late to be in time",
@@ -129,10 +129,10 @@
 /// know all endpoints yet cannot tell a shortage, so it uses a fixed short delay: with the delays
 /// used in a shortage its callers were told to retry after 2, 30 and 30 s.
 fn refuse<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, job: &Job, reason: &str) -> Failure {
-    let failure = give_up(job.run.get(), FailureKind::NoChain, reason);
+    let failure = final_failure(job.run.get(), FailureKind::NoChain, reason);
     match failure.retry_after {
         Some(_) if !gateway.knowledge.knows_endpoints() => {
-            failure.retry_after(COME_BACK_UNINFORMED)
+            failure.retry_after(RETRY_AFTER_NOT_READY)
         }
         Some(_) if gateway.settings().mechanisms.return_times => {
             failure.retry_after(gateway.come_back(job))
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -4,8 +4,8 @@
 use super::attempt::{Upstream, UpstreamReply};
 use super::loss::{Loss, Silence, SilenceTimer, detect_loss, move_request};
 use super::open::open_stream;
-use crate::decisions::{Outcome, SendEnd};
-use crate::ends::on_broken_send;
+use crate::crashes::check_broken_send;
+use crate::decisions::{FailedSend, Outcome};
 use crate::events::EventSplitter;
 use crate::gateway::Gateway;
 use crate::job::Job;
@@ -38,7 +38,7 @@
 /// How the part of a stream that one endpoint sent ended.
 enum SegmentEnd {
     /// The stream is complete.
-    Whole,
+    Complete,
     /// The stream broke: the endpoint at fault if it is not the first one, and the reason.
     Broken(Option<EndpointId>, String),
 }
@@ -46,11 +46,11 @@
 /// Result of a check of a silent stream.
 enum LossCheck {
     /// No engine was found lost.
-    Nothing,
+    NoLoss,
     /// An engine is lost; the stream was moved, or may continue where it is.
-    Loss,
+    Recoverable,
     /// An engine is lost and the stream cannot continue.
-    End(Loss),
+    Fatal(Loss),
 }
 
 impl<W: Wire, S: MetadataStore> StreamRelay<W, S> {
@@ -86,15 +86,15 @@
             let (at_fault, reason) = match self.relay_segment(&mut upstream).await {
                 SegmentEnd::Complete => {
                     self.gateway.on_ran_well(&self.job);
-                    let Upstream { channel, endpoint, head, .. } = upstream;
-                    self.gateway.keep_channel(&endpoint, channel, &head);
+                    let Upstream { connection, endpoint, head, .. } = upstream;
+                    self.gateway.keep_channel(&endpoint, connection, &head);
                     return (Outcome::Answered, String::new());
                 }
                 SegmentEnd::Broken(at_fault, reason) => (at_fault, reason),
             };
             self.gateway.decisions.send_failed(
                 &self.job,
-                &SendEnd {
+                &FailedSend {
                     endpoint: &upstream.endpoint,
                     at_fault: at_fault.as_deref(),
                     run: self.job.run.get().state(),
@@ -103,7 +103,7 @@
                 },
             );
             if at_fault.is_none() {
-                on_broken_send(&self.gateway, &self.job, upstream.broken_send()).await;
+                check_broken_send(&self.gateway, &self.job, upstream.broken_send()).await;
             }
             let avoid = vec![at_fault.unwrap_or_else(|| upstream.endpoint.clone())];
             drop(upstream);
@@ -130,10 +130,12 @@
     }
 
     async fn relay_segment(&mut self, upstream: &mut Upstream) -> SegmentEnd {
-        let activity =
-            upstream.path.as_ref().map(|path| self.gateway.heard.begin(path, Instant::now()));
-        let mut timer = SilenceTimer::new(self.rules.gap_objective);
-        let mut check_timer = smol::Timer::after(timer.wait());
+        let activity = upstream
+            .path
+            .as_ref()
+            .map(|path| self.gateway.stream_activity.register(path, Instant::now()));
+        let mut silence_timer = SilenceTimer::new(self.rules.gap_objective);
+        let mut check_timer = smol::Timer::after(silence_timer.wait());
         let mut last_data_at = Instant::now();
         loop {
             let next = async { Some(upstream.body.frame().await) };
@@ -142,9 +144,9 @@
                 None
             };
             let Some(frame) = futures_lite::future::or(next, timeout).await else {
-                let silence = timer.on_silence();
+                let silence = silence_timer.on_silence();
                 match self.move_around_loss(upstream, silence).await {
-                    LossCheck::NoLoss if silence != Silence::Long => timer.on_false_alarm(),
+                    LossCheck::NoLoss if silence != Silence::Long => silence_timer.on_false_alarm(),
                     LossCheck::NoLoss | LossCheck::Recoverable => {}
                     LossCheck::Fatal(loss) => {
                         return SegmentEnd::Broken(loss.engines.into_iter().next(), loss.reason);
@@ -153,18 +155,18 @@
                 if let (Some(activity), Some(path)) = (&activity, &upstream.path) {
                     activity.on_moved(path);
                 }
-                check_timer.set_after(timer.wait());
+                check_timer.set_after(silence_timer.wait());
                 continue;
             };
             let now = Instant::now();
-            timer.on_heard(now.saturating_duration_since(last_data_at));
+            silence_timer.on_heard(now.saturating_duration_since(last_data_at));
             last_data_at = now;
             if let Some(activity) = &activity {
                 activity.on_event(now);
             }
-            check_timer.set_after(timer.wait());
+            check_timer.set_after(silence_timer.wait());
             match frame {
-                None if upstream.splitter.holds_part() => {
+                None if upstream.splitter.has_partial_event() => {
                     return SegmentEnd::Broken(None, "the stream ended within an event".to_owned());
                 }
                 None => return SegmentEnd::Complete,
@@ -187,7 +189,7 @@
                 // Reading from the endpoint was suspended, so this time is not a pause of the
                 // endpoint.
                 last_data_at = Instant::now();
-                check_timer.set_after(timer.wait());
+                check_timer.set_after(silence_timer.wait());
             }
         }
     }
@@ -224,10 +226,10 @@
             }
             self.last_number = event.number.or(self.last_number);
             self.events += 1;
-            self.job.delivery.on_event(self.job.began, Instant::now());
+            self.job.delivery.on_event(self.job.received_at, Instant::now());
             self.outbox.write(&event.bytes);
         }
-        self.reserve_partial_event(splitter.held_bytes())
+        self.reserve_partial_event(splitter.buffered_bytes())
     }
 
     /// Charges the bytes of an incomplete event to the VM's memory budget.
--- a/crates/sillbank_gateway/src/streams/target.rs
+++ b/crates/sillbank_gateway/src/streams/target.rs
@@ -30,7 +30,7 @@
     Withheld,
     /// The only endpoint that the path could start at is withheld from the request, which may crash
     /// endpoints, for this long.
-    KeptApart(Duration),
+    Isolated(Duration),
 }
 
 impl NoTarget {
@@ -38,7 +38,7 @@
         match self {
             Self::NoPath => "no path covers the model",
             Self::NoRoom => "no path has room",
-            Self::KeptApart(_) => "an endpoint ended under it, and the only one left is not risked",
+            Self::Isolated(_) => "an endpoint ended under it, and the only one left is not risked",
             Self::Withheld => "the endpoints that could take it asked for fewer requests",
         }
     }
@@ -60,20 +60,20 @@
     let views = gateway.views(now);
     let ask = path_ask(job, figures, &home, avoid);
     let mut avoid = avoid.to_vec();
-    if let Some(left) = gateway.kept_apart_for(job) {
+    if let Some(remaining) = gateway.kept_apart_for(job) {
         let mut candidates = first_engines(views, ask);
         // An endpoint that the request has tried counts again once it has restarted.
-        let has_restarted = |first: &str| gateway.book.renewed_since(first, job.began);
+        let has_restarted = |first: &str| gateway.book.renewed_since(first, job.received_at);
         candidates.retain(|first| !avoid.contains(first) || has_restarted(first));
         let Some(risked) = risked_engine(&candidates, &avoid) else {
-            return Err(NoTarget::KeptApart(left));
+            return Err(NoTarget::Isolated(remaining));
         };
         avoid.extend(candidates.iter().filter(|first| *first != risked).cloned());
     }
     let ask = PathAsk { avoid: &avoid, ..ask };
     if let Some(path) = choose_path(views, ask) {
         if views.mechanisms.forecasts {
-            job.foretold.get_or_init(|| gateway.forecasts.foretell(views, ask, &path));
+            job.forecast.get_or_init(|| gateway.forecasts.predict(views, ask, &path));
         }
         return Ok(Target::from_path(path));
     }
--- a/crates/sillbank_gateway/src/unreadable.rs
+++ b/crates/sillbank_gateway/src/unreadable.rs
@@ -8,7 +8,7 @@
 /// Maximum number of entries that are remembered as logged, so that each version of them is logged
 /// once. Further ones are only counted: whoever writes that many can be found by the lines already
 /// there.
-pub const MAX_TOLD: usize = 256;
+pub const MAX_LOGGED_ENTRIES: usize = 256;
 
 /// Entries that cannot be read and have been logged.
 #[derive(Debug, Default)]
@@ -19,12 +19,12 @@
 
 impl UnreadableEntries {
     /// Records an entry and logs it, within bounds. Returns whether this version of it is new.
-    pub fn note(&self, entry: &UnreadableEntry) -> bool {
+    pub fn record(&self, entry: &UnreadableEntry) -> bool {
         let mut logged = self.logged.borrow_mut();
         if logged.get(&entry.id) == Some(&entry.version) {
             return false;
         }
-        if logged.len() < MAX_TOLD || logged.contains_key(&entry.id) {
+        if logged.len() < MAX_LOGGED_ENTRIES || logged.contains_key(&entry.id) {
             logged.insert(entry.id.clone(), entry.version);
             tracing::warn!(
                 endpoint = entry.id,
@@ -34,7 +34,7 @@
             );
         } else if !self.is_overflow_logged.replace(true) {
             tracing::warn!(
-                MAX_TOLD,
+                MAX_TOLD = MAX_LOGGED_ENTRIES,
                 "endpoint: More entries cannot be read; they are only counted."
             );
         }
--- a/crates/sillbank_gateway/src/vm_limits/meter.rs
+++ b/crates/sillbank_gateway/src/vm_limits/meter.rs
@@ -114,14 +114,14 @@
     /// served, and refusing them closes no connection. The processor does not count either: a slow
     /// answer is better than none, and the usual timer lag on the smallest VM is not known well
     /// enough to refuse requests by it.
-    pub fn of_work(&self) -> f64 {
+    pub fn request_pressure(&self) -> f64 {
         self.link.max(self.memory)
     }
 }
 
 /// A VM's state in relation to its limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Standing {
+pub enum LimitState {
     /// It has room.
     #[default]
     Clear,
@@ -139,7 +139,7 @@
     mean_requests: f64,
     mean_lag_s: f64,
     pressures: Pressures,
-    standing: Standing,
+    state: LimitState,
 }
 
 impl LimitMeter {
@@ -158,8 +158,8 @@
             descriptors: use_of(reading.connections as f64, capacity.connections as f64),
             processor: use_of(self.mean_lag_s, MAX_TIMER_LAG.as_secs_f64()),
         };
-        let standing = self.next_standing();
-        std::mem::replace(&mut self.standing, standing) != standing
+        let state = self.next_state();
+        std::mem::replace(&mut self.state, state) != state
     }
 
     /// Current use of each limit.
@@ -168,8 +168,8 @@
     }
 
     /// Current state.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn state(&self) -> LimitState {
+        self.state
     }
 
     fn update_rates(&mut self, elapsed: Duration, last: &VmReading, reading: &VmReading) {
@@ -190,15 +190,15 @@
         self.rate_bytes_per_s * growth.max(1.0)
     }
 
-    fn next_standing(&self) -> Standing {
+    fn next_state(&self) -> LimitState {
         let (_, worst) = self.pressures.worst();
-        let of_work = self.pressures.of_work();
-        match self.standing {
-            _ if of_work >= FULL_SHARE => Standing::Full,
-            Standing::Full if of_work >= NEAR_SHARE => Standing::Full,
-            _ if worst >= NEAR_SHARE => Standing::Near,
-            Standing::Near | Standing::Full if worst >= CLEAR_SHARE => Standing::Near,
-            _ => Standing::Clear,
+        let request_pressure = self.pressures.request_pressure();
+        match self.state {
+            _ if request_pressure >= FULL_SHARE => LimitState::Full,
+            LimitState::Full if request_pressure >= NEAR_SHARE => LimitState::Full,
+            _ if worst >= NEAR_SHARE => LimitState::Near,
+            LimitState::Near | LimitState::Full if worst >= CLEAR_SHARE => LimitState::Near,
+            _ => LimitState::Clear,
         }
     }
 }
--- a/crates/sillbank_gateway/src/vm_limits/mod.rs
+++ b/crates/sillbank_gateway/src/vm_limits/mod.rs
@@ -1,16 +1,16 @@
 //! Use of a VM's own limits, and load shedding before it is overloaded.
 //!
-//! [`LimitMeter`] computes the use of the limits without a network or clock; [`watch_limits`] takes
+//! [`LimitMeter`] computes the use of the limits without a network or clock; [`monitor_limits`] takes
 //! a reading ten times a second. A VM that is near a limit reports strength 0, so that another one
 //! leads its hall, and reports not ready while enough others are fit. A VM at a limit refuses new
 //! requests at once: a request that is read and then delayed costs its caller more than one that is
 //! retried elsewhere.
 
 mod meter;
-mod watch;
+mod monitor;
 
-pub use meter::{LimitMeter, Pressures, Standing, VmCapacity, VmLimit, VmReading};
-pub use watch::watch_limits;
+pub use meter::{LimitMeter, LimitState, Pressures, VmCapacity, VmLimit, VmReading};
+pub use monitor::monitor_limits;
 
 /// Whether enough other VMs of a hall are fit for one to report not ready: at least half of all. A
 /// balancer that finds fewer uses all of them, and the remaining ones would get more than twice
--- a/crates/sillbank_gateway/src/vm_limits/watch.rs
+++ b/crates/sillbank_gateway/src/vm_limits/monitor.rs
@@ -1,6 +1,6 @@
 //! Reads a VM's resource use and reacts to changes of its limit state.
 
-use super::meter::{Standing, VmCapacity, VmReading};
+use super::meter::{LimitState, VmCapacity, VmReading};
 use crate::gateway::Gateway;
 use crate::metrics::LimitLabel;
 use crate::store::MetadataStore;
@@ -13,7 +13,7 @@
 const READING_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Reads this VM's resource use for as long as the program runs.
-pub async fn watch_limits<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
+pub async fn monitor_limits<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
         let due = Instant::now() + READING_INTERVAL;
         smol::Timer::at(due).await;
@@ -44,16 +44,16 @@
         let label = LimitLabel { limit: limit.name() };
         gateway.metrics.vm_pressure.get_or_create(&label).set(pressure);
     }
-    gateway.metrics.note_kept(&gateway.kept);
+    gateway.metrics.record_buffered_bytes(&gateway.kept);
 }
 
 fn log_state<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, reading: &VmReading) {
     let limits = gateway.limits.borrow();
     let (limit, pressure) = limits.pressures().worst();
-    let message = match limits.standing() {
-        Standing::Clear => "vm: Has room again.",
-        Standing::Near => "vm: Near a limit.",
-        Standing::Full => "vm: At a limit.",
+    let message = match limits.state() {
+        LimitState::Clear => "vm: Has room again.",
+        LimitState::Near => "vm: Near a limit.",
+        LimitState::Full => "vm: At a limit.",
     };
     tracing::info!(
         limit = limit.name(),
--- a/crates/sillbank_gateway/src/wire.rs
+++ b/crates/sillbank_gateway/src/wire.rs
@@ -40,16 +40,16 @@
     /// Tokens of the prompt.
     pub prompt: u32,
     /// Maximum number of output tokens.
-    pub most_output: u32,
+    pub max_output: u32,
     /// Caller's estimate of the output tokens, if it gave one: right at the median, but often far
     /// off.
-    pub likely_output: Option<u32>,
+    pub expected_output: Option<u32>,
 }
 
 /// A header of a caller's request cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("header '{header}' {reason}; correct it and send the request again")]
-pub struct BadHead {
+pub struct HeaderError {
     /// Name of the header.
     pub header: &'static str,
     /// What is wrong with it.
@@ -58,7 +58,7 @@
 
 /// What an endpoint is told with a request, beside the caller's own headers.
 #[derive(Debug, Clone)]
-pub struct Sending<'a> {
+pub struct SendContext<'a> {
     /// Endpoint the request is for; any other refuses it.
     pub endpoint: &'a str,
     /// Time left before the deadline.
@@ -75,7 +75,7 @@
 
 /// Position of a reply on its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReplyPlace {
+pub enum ReplyPosition {
     /// The first reply, which can only answer the request that was sent.
     First,
     /// Other replies came before, so this may be a surplus reply to an earlier request.
@@ -92,7 +92,7 @@
     /// The endpoint did not run the request.
     NotRun(Refusal),
     /// The reply belongs to another request or proves nothing.
-    Foreign,
+    Unmatched,
 }
 
 /// An endpoint's proof that it did not run a request.
@@ -108,7 +108,7 @@
 
 /// How requests that pass through released layers are treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GiveUp {
+pub enum ReleaseMode {
     /// The layers are released once running requests have ended; no new ones are accepted.
     WhenUnused,
     /// Running requests are cut off.
@@ -117,11 +117,11 @@
 
 /// Order to an engine to hold a range of layers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlaceOrder {
+pub struct PlacementOrder {
     /// Layers to hold.
     pub layers: LayerRange,
     /// When the engine releases other layers that it holds.
-    pub give_up: GiveUp,
+    pub release_mode: ReleaseMode,
     /// Number of orders that the engine must have accepted before; it refuses the order if the
     /// number differs.
     pub expected_orders: u64,
@@ -129,9 +129,9 @@
 
 /// Result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// The engine has started to carry it out.
-    Begun,
+    Started,
     /// The engine holds the layers already.
     Done,
     /// The order does not fit the engine's state, which has to be read again.
@@ -140,11 +140,11 @@
     Refused,
 }
 
-impl OrderEnd {
+impl OrderOutcome {
     /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Begun => "begun",
+            Self::Started => "begun",
             Self::Done => "done",
             Self::Conflict => "conflict",
             Self::Refused => "refused",
@@ -169,9 +169,9 @@
     /// Layers it holds; `None` if it holds none.
     pub layers: Option<LayerRange>,
     /// Whether it is carrying out an order.
-    pub order_under_way: bool,
+    pub order_in_progress: bool,
     /// Orders accepted since its start.
-    pub orders_taken: u64,
+    pub orders_accepted: u64,
     /// Number of waiting requests.
     pub waiting: u32,
     /// Number of running requests.
@@ -187,7 +187,7 @@
 /// An endpoint's reply that does not follow the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("the reply cannot be read ({0}); check the version of the endpoint")]
-pub struct Unreadable(pub String);
+pub struct UnreadableReply(pub String);
 
 /// Translation between a platform's wire format and the gateway's types.
 pub trait Wire: 'static {
@@ -195,17 +195,17 @@
     ///
     /// # Errors
     /// The first header that is missing or malformed.
-    fn read_caller(headers: &HeaderMap) -> Result<CallerHead, BadHead>;
+    fn read_caller(headers: &HeaderMap) -> Result<CallerHead, HeaderError>;
 
     /// Changes a caller's headers into those sent to an endpoint.
-    fn prepare_sending(headers: &mut HeaderMap, sending: &Sending<'_>);
+    fn prepare_headers(headers: &mut HeaderMap, context: &SendContext<'_>);
 
     /// Reads the head of an endpoint's reply to a request.
     fn read_reply(
         status: StatusCode,
         headers: &HeaderMap,
         request_id: &str,
-        place: ReplyPlace,
+        position: ReplyPosition,
     ) -> EndpointReply;
 
     /// Reads what an endpoint asks of VMs in the head of its own reply.
@@ -215,10 +215,10 @@
     fn retry_after(after: Duration) -> HeaderValue;
 
     /// Builds the call that gives an order to an engine.
-    fn order_call(order: &PlaceOrder) -> Request<Bytes>;
+    fn order_call(order: &PlacementOrder) -> Request<Bytes>;
 
     /// Reads the result of an order or of a move.
-    fn read_order_end(status: StatusCode) -> OrderEnd;
+    fn read_order_outcome(status: StatusCode) -> OrderOutcome;
 
     /// Builds the call that asks an engine for its report.
     fn report_call() -> Request<Bytes>;
@@ -227,7 +227,7 @@
     ///
     /// # Errors
     /// What in the body cannot be read.
-    fn read_report(body: &[u8]) -> Result<EngineReport, Unreadable>;
+    fn read_report(body: &[u8]) -> Result<EngineReport, UnreadableReply>;
 
     /// Builds the call that moves a running request to another path with the same first endpoint.
     fn move_call(request_id: &str, path: &LayerPath) -> Request<Bytes>;
--- a/crates/sillbank_gateway/tests/answers.rs
+++ b/crates/sillbank_gateway/tests/answers.rs
@@ -2,40 +2,42 @@
 
 use sillbank_core::prelude::*;
 use sillbank_core::run::RunLog;
-use sillbank_gateway::answers::{give_up, is_promise, out_of_time};
+use sillbank_gateway::answers::{deadline_failure, final_failure, guarantees_not_run};
 use sillbank_testing::for_fixed_seeds;
 
 /// How one send ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum SendEnd {
+enum SendResult {
     RefusedWithProof,
     NoAnswer,
     Ran,
 }
 
-fn log_of(ends: &[SendEnd]) -> RunLog {
+fn log_of(ends: &[SendResult]) -> RunLog {
     let mut log = RunLog::default();
     for end in ends {
         log.sent();
         match end {
-            SendEnd::RefusedWithProof => log.refused(),
-            SendEnd::NoAnswer => {}
-            SendEnd::Ran => log.ran(),
+            SendResult::RefusedWithProof => log.refused(),
+            SendResult::NoAnswer => {}
+            SendResult::Ran => log.ran(),
         }
     }
     log
 }
 
+/// A failure has a status that guarantees no run, and a `Retry-After`, exactly if every send was
+/// refused with proof.
 #[test]
-fn nothing_that_may_have_run_is_answered_with_a_promise() {
+fn only_requests_proven_not_run_get_a_retry_guarantee() {
     for_fixed_seeds(500, 64, |u| {
         let mut ends = Vec::new();
         for _ in 0..u.int_in_range(0..=5)? {
-            let end = [SendEnd::RefusedWithProof, SendEnd::NoAnswer, SendEnd::Ran];
+            let end = [SendResult::RefusedWithProof, SendResult::NoAnswer, SendResult::Ran];
             ends.push(*u.choose(&end)?);
         }
         let log = log_of(&ends);
-        let may_have_run = ends.iter().any(|end| *end != SendEnd::RefusedWithProof);
+        let may_have_run = ends.iter().any(|end| *end != SendResult::RefusedWithProof);
         let refusal = *u.choose(&[
             FailureKind::NoChain,
             FailureKind::Overloaded,
@@ -43,8 +45,8 @@
             FailureKind::NotReady,
         ])?;
 
-        for failure in [give_up(log, refusal, "why"), out_of_time(log)] {
-            assert_eq!(is_promise(failure.kind.http_status()), !may_have_run, "{ends:?}");
+        for failure in [final_failure(log, refusal, "why"), deadline_failure(log)] {
+            assert_eq!(guarantees_not_run(failure.kind.http_status()), !may_have_run, "{ends:?}");
             assert_eq!(failure.retry_after.is_some(), !may_have_run, "{ends:?}");
         }
         Ok(())
--- a/crates/sillbank_gateway/tests/endpoints.rs
+++ b/crates/sillbank_gateway/tests/endpoints.rs
@@ -1,8 +1,8 @@
 //! What is seen of endpoints decides who is left alone, and for how long.
 
 use sillbank_fleet::prelude::*;
-use sillbank_gateway::doctor::{Probe, lost_by_probes, silence_means_loss};
 use sillbank_gateway::endpoints::{EndpointBook, Evidence, Share};
+use sillbank_gateway::probes::{Probe, lost_engines, silence_means_loss};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -118,7 +118,7 @@
 fn an_engine_that_refuses_a_call_while_a_stream_stands_still_is_lost() {
     let probes = probes(&[("a", Probe::Silent), ("b", Probe::Refused), ("c", Probe::Silent)]);
 
-    let lost = lost_by_probes(&probes);
+    let lost = lost_engines(&probes);
 
     assert_eq!(lost, vec![("b".to_owned(), Probe::Refused)]);
 }
@@ -127,7 +127,7 @@
 fn an_engine_that_is_silent_while_most_others_answer_is_lost() {
     let probes = probes(&[("a", Probe::Answered), ("b", Probe::Silent), ("c", Probe::Answered)]);
 
-    let lost = lost_by_probes(&probes);
+    let lost = lost_engines(&probes);
 
     assert_eq!(lost, vec![("b".to_owned(), Probe::Silent)]);
 }
@@ -136,7 +136,7 @@
 fn a_vm_that_hears_of_hardly_any_engine_takes_none_for_lost() {
     let probes = probes(&[("a", Probe::Silent), ("b", Probe::Silent), ("c", Probe::Answered)]);
 
-    assert!(lost_by_probes(&probes).is_empty());
+    assert!(lost_engines(&probes).is_empty());
 }
 
 #[test]
--- a/crates/sillbank_gateway/tests/events.rs
+++ b/crates/sillbank_gateway/tests/events.rs
@@ -7,33 +7,38 @@
     std::iter::from_fn(|| splitter.next_event()).map(|e| (e.number, e.bytes.to_vec())).collect()
 }
 
+/// An event is returned only once the blank line that ends it has arrived.
 #[test]
-fn an_event_is_held_until_its_end_has_come() {
+fn incomplete_event_is_buffered() {
     let mut splitter = EventSplitter::default();
 
-    splitter.push(b"id: 7\nda").expect("it is short");
+    splitter.push(b"id: 7\nda").expect("event below the size limit");
     let early = splitter.next_event();
-    splitter.push(b"ta: x\n\nid: 8\n").expect("it is short");
+    splitter.push(b"ta: x\n\nid: 8\n").expect("event below the size limit");
     let events = take_all(&mut splitter);
 
     assert_eq!(early, None);
     assert_eq!(events, vec![(Some(7), b"id: 7\ndata: x\n\n".to_vec())]);
-    assert!(splitter.holds_part());
+    assert!(splitter.has_partial_event());
 }
 
+/// The `id` field may follow other fields, and LF and CRLF both end an event.
 #[test]
-fn events_may_begin_with_other_fields_and_end_in_either_way() {
+fn id_position_and_line_endings_vary() {
     let mut splitter = EventSplitter::default();
 
-    splitter.push(b"versions: 2\nid:3\n\nid: 4\r\ndata: y\r\n\r\n: note\n\n").expect("short");
+    splitter
+        .push(b"versions: 2\nid:3\n\nid: 4\r\ndata: y\r\n\r\n: note\n\n")
+        .expect("events below the size limit");
     let numbers: Vec<Option<u64>> = take_all(&mut splitter).into_iter().map(|(n, _)| n).collect();
 
     assert_eq!(numbers, vec![Some(3), Some(4), None]);
-    assert!(!splitter.holds_part());
+    assert!(!splitter.has_partial_event());
 }
 
+/// An event that exceeds the maximum size is an error instead of unbounded buffering.
 #[test]
-fn an_event_without_end_is_refused() {
+fn oversized_event_is_rejected() {
     let mut splitter = EventSplitter::default();
 
     let pushed = splitter.push(&vec![b'x'; 2 << 20]);
@@ -41,8 +46,9 @@
     assert!(pushed.is_err());
 }
 
+/// The concatenated events equal the input, however the bytes are fragmented.
 #[test]
-fn pieces_do_not_change_what_comes_out() {
+fn fragmentation_does_not_change_events() {
     for_fixed_seeds(200, 1024, |u| {
         let mut whole = Vec::new();
         for number in 0..u.int_in_range(1..=20)? {
@@ -53,7 +59,7 @@
         let mut rest = whole.as_slice();
         while !rest.is_empty() {
             let (piece, tail) = rest.split_at(u.int_in_range(1..=rest.len().min(40))?);
-            splitter.push(piece).expect("it is short");
+            splitter.push(piece).expect("event below the size limit");
             out.extend(take_all(&mut splitter).into_iter().flat_map(|(_, bytes)| bytes));
             rest = tail;
         }
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -8,7 +8,7 @@
 use sillbank_gateway::delivery::Delivery;
 use sillbank_gateway::endpoints::EndpointBook;
 use sillbank_gateway::feed::{EngineState, HallBoard};
-use sillbank_gateway::forecasts::{Forecasts, Foretold};
+use sillbank_gateway::forecasts::{Forecasts, StreamForecast};
 use sillbank_gateway::hall::Hall;
 use sillbank_gateway::knowledge::Knowledge;
 use sillbank_gateway::mechanisms::Mechanisms;
@@ -20,7 +20,7 @@
 
 /// Seed of the random part of path costs.
 const SEED: u64 = 1;
-const HOME: &str = "a";
+const LOCAL_HALL: &str = "a";
 const LAYERS: LayerRange = LayerRange { first: 0, end: 20 };
 
 fn service() -> Service {
@@ -61,8 +61,8 @@
     EndpointRecord {
         id: "e".to_owned(),
         service: "gen".to_owned(),
-        address: "10.0.0.9:80".parse().expect("an address"),
-        hall: HOME.to_owned(),
+        address: "10.0.0.9:80".parse().expect("valid address"),
+        hall: LOCAL_HALL.to_owned(),
         standing: Standing::Ready,
         slots: 192,
         accelerator: Some(accelerator.to_owned()),
@@ -85,18 +85,18 @@
 }
 
 /// Forecast for a stream over the only engine.
-fn foretold(
+fn predict(
     forecasts: &Forecasts,
     record: EndpointRecord,
-    told: Option<EngineState>,
-) -> Option<Foretold> {
+    reported: Option<EngineState>,
+) -> Option<StreamForecast> {
     let now = Instant::now();
     let chance = Chance::with_seed(SEED);
     let (knowledge, hall) = (Knowledge::new(Duration::from_secs(5)), Hall::new(chance.clone()));
     knowledge.take_endpoints(now, Snapshot { at: Revision::new(1, 1), value: vec![record] });
-    if let Some(state) = told {
-        let leader = "10.0.0.1:7000".parse().expect("an address");
-        let (hall_name, engines) = (HOME.to_owned(), vec![state]);
+    if let Some(state) = reported {
+        let leader = "10.0.0.1:7000".parse().expect("valid address");
+        let (hall_name, engines) = (LOCAL_HALL.to_owned(), vec![state]);
         let board = HallBoard {
             hall: hall_name,
             age_ms: 0,
@@ -119,86 +119,96 @@
         chance: &chance,
         now,
     };
-    let figures = service.engine.as_ref().expect("it has one");
+    let figures = service.engine.as_ref().expect("the service has engine figures");
     let demand = Demand::usual(figures);
-    let ask = PathAsk { service: &service, figures, home: HOME, avoid: &[], demand };
-    let path = choose_path(views, ask).expect("there is one");
-    forecasts.foretell(views, ask, &path)
+    let ask = PathAsk { service: &service, figures, home: LOCAL_HALL, avoid: &[], demand };
+    let path = choose_path(views, ask).expect("a path exists");
+    forecasts.predict(views, ask, &path)
 }
 
-/// A stream, received 10 ms before it was sent, that took `first_part` and `pause_part` of the
+/// A stream, received 10 ms before it was sent, that took `first_event_ratio` and `pause_ratio` of the
 /// forecast times.
-fn shown(foretold: &Foretold, first_part: f64, pause_part: f64) -> (Instant, Delivery) {
-    let began = foretold.sent_at - Duration::from_millis(10);
-    let first_at = foretold.sent_at + foretold.plain.first_event.mul_f64(first_part);
+fn observed(
+    forecast: &StreamForecast,
+    first_event_ratio: f64,
+    pause_ratio: f64,
+) -> (Instant, Delivery) {
+    let received_at = forecast.sent_at - Duration::from_millis(10);
+    let first_at = forecast.sent_at + forecast.uncorrected.first_event.mul_f64(first_event_ratio);
     let delivery = Delivery::default();
-    delivery.on_event(began, first_at);
-    delivery.on_event(began, first_at + foretold.plain.pause.mul_f64(pause_part));
-    (began, delivery)
+    delivery.on_event(received_at, first_at);
+    delivery.on_event(received_at, first_at + forecast.uncorrected.pause.mul_f64(pause_ratio));
+    (received_at, delivery)
 }
 
+/// A forecast grows with the load and the slowdown that the leader reports of the engine.
 #[test]
-fn a_stream_is_foretold_by_what_the_leader_tells_of_its_engines() {
+fn forecast_grows_with_reported_load_and_pace() {
     let forecasts = Forecasts::default();
     let of = |running, pace| {
-        foretold(&forecasts, record("quick"), Some(state(running, pace))).expect("it is foretold")
+        predict(&forecasts, record("quick"), Some(state(running, pace))).expect("a forecast exists")
     };
 
-    let [idle, busy, slow] = [of(0, 1000), of(150, 1000), of(150, 4000)].map(|told| told.corrected);
+    let [idle, busy, slow] =
+        [of(0, 1000), of(150, 1000), of(150, 4000)].map(|forecast| forecast.corrected);
 
     assert!(idle.first_event < busy.first_event && busy.first_event < slow.first_event);
     assert!(idle.pause < busy.pause && busy.pause < slow.pause);
 }
 
+/// There is no forecast without a leader's report or figures of the accelerator.
 #[test]
-fn nothing_is_foretold_where_engines_are_not_known() {
+fn no_forecast_for_unknown_engines() {
     let forecasts = Forecasts::default();
 
-    let told_by_no_leader = foretold(&forecasts, record("quick"), None);
-    let unknown_kind = foretold(&forecasts, record("other"), Some(state(0, 1000)));
+    let without_report = predict(&forecasts, record("quick"), None);
+    let unknown_kind = predict(&forecasts, record("other"), Some(state(0, 1000)));
 
-    assert_eq!([told_by_no_leader, unknown_kind], [None, None]);
+    assert_eq!([without_report, unknown_kind], [None, None]);
 }
 
+/// After enough observations with a constant error, the corrected forecast matches them.
 #[test]
-fn what_streams_show_corrects_what_is_foretold_of_their_hall() {
+fn observations_correct_forecasts_of_their_hall() {
     let forecasts = Forecasts::default();
-    let of = || foretold(&forecasts, record("quick"), Some(state(50, 1000))).expect("it is told");
+    let of = || predict(&forecasts, record("quick"), Some(state(50, 1000))).expect("known");
     let first = of();
 
     for _ in 0..300 {
-        let (began, delivery) = shown(&first, 1.5, 0.75);
-        forecasts.on_shown(&first, began, &delivery, true);
+        let (received_at, delivery) = observed(&first, 1.5, 0.75);
+        forecasts.record_observed(&first, received_at, &delivery, true);
     }
     let later = of();
-    let (began, delivery) = shown(&later, 1.5, 0.75);
-    let ratios = forecasts.on_shown(&later, began, &delivery, true);
+    let (received_at, delivery) = observed(&later, 1.5, 0.75);
+    let ratios = forecasts.record_observed(&later, received_at, &delivery, true);
 
     let is_one = |ratio: Option<f64>| ratio.is_some_and(|ratio| (0.97..1.03).contains(&ratio));
-    assert_eq!(later.plain, first.plain);
+    assert_eq!(later.uncorrected, first.uncorrected);
     assert!(is_one(ratios.first_event) && is_one(ratios.pause), "{ratios:?}");
 }
 
+/// With learning off, forecasts do not change and the ratios show the error.
 #[test]
-fn without_learning_forecasts_stay_and_their_error_is_told() {
+fn without_learning_only_the_error_is_reported() {
     let forecasts = Forecasts::default();
-    let of = || foretold(&forecasts, record("quick"), Some(state(50, 1000))).expect("it is told");
+    let of = || predict(&forecasts, record("quick"), Some(state(50, 1000))).expect("known");
     let first = of();
 
-    let (began, delivery) = shown(&first, 3.0, 2.0);
-    let ratios = forecasts.on_shown(&first, began, &delivery, false);
+    let (received_at, delivery) = observed(&first, 3.0, 2.0);
+    let ratios = forecasts.record_observed(&first, received_at, &delivery, false);
 
     assert_eq!(of().corrected, first.corrected);
-    let near = |ratio: Option<f64>, wanted: f64| (ratio.expect("it is told") - wanted).abs() < 0.01;
+    let near = |ratio: Option<f64>, wanted: f64| (ratio.expect("known") - wanted).abs() < 0.01;
     assert!(near(ratios.first_event, 3.0) && near(ratios.pause, 2.0), "{ratios:?}");
 }
 
+/// A stream without events yields no ratios.
 #[test]
-fn a_stream_without_events_tells_nothing() {
+fn stream_without_events_has_no_ratios() {
     let forecasts = Forecasts::default();
-    let told = foretold(&forecasts, record("quick"), Some(state(50, 1000))).expect("it is told");
+    let forecast = predict(&forecasts, record("quick"), Some(state(50, 1000))).expect("known");
 
-    let ratios = forecasts.on_shown(&told, told.sent_at, &Delivery::default(), true);
+    let ratios = forecasts.record_observed(&forecast, forecast.sent_at, &Delivery::default(), true);
 
     assert_eq!((ratios.first_event, ratios.pause), (None, None));
 }
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -13,11 +13,11 @@
 use sillbank_gateway::feed::{EngineState, HallBoard};
 use sillbank_gateway::hall::Hall;
 use sillbank_gateway::knowledge::Knowledge;
-use sillbank_gateway::ladder_metrics::{AskedLabel, LadderMetrics};
 use sillbank_gateway::load::{FleetLoad, LoadAsk, NotLetIn, fleet_room};
 use sillbank_gateway::mechanisms::Mechanisms;
 use sillbank_gateway::paths::Views;
 use sillbank_gateway::revision::Revision;
+use sillbank_gateway::shedding_metrics::{AdmissionLabel, SheddingMetrics};
 use sillbank_gateway::store::Snapshot;
 use sillbank_pushback::prelude::*;
 use std::cell::RefCell;
@@ -330,16 +330,16 @@
 
 #[test]
 fn requests_are_counted_by_rank_and_end_and_absurd_ranks_as_the_last() {
-    let metrics = LadderMetrics::default();
+    let metrics = SheddingMetrics::default();
     let late = NotLetIn { fullness: 1.0, is_late: true };
     let of = |organisation| Urgency { organisation, route: 0 };
 
-    metrics.on_asked("gen", of(1), Ok(()));
-    metrics.on_asked("gen", of(1), Err(NotLetIn { is_late: false, ..late }));
-    (0..200).for_each(|rank| metrics.on_asked("gen", of(50 + rank), Err(late)));
+    metrics.record_admission("gen", of(1), Ok(()));
+    metrics.record_admission("gen", of(1), Err(NotLetIn { is_late: false, ..late }));
+    (0..200).for_each(|rank| metrics.record_admission("gen", of(50 + rank), Err(late)));
 
     let count = |rank, end| {
-        let label = AskedLabel { service: "gen".to_owned(), rank, end };
+        let label = AdmissionLabel { service: "gen".to_owned(), rank, end };
         metrics.asked.get_or_create(&label).get()
     };
     assert_eq!((count(1, "let_in"), count(1, "refused_rank")), (1, 1));
--- a/crates/sillbank_gateway/tests/reports.rs
+++ b/crates/sillbank_gateway/tests/reports.rs
@@ -8,8 +8,8 @@
     ReportOutcome::Reported(EngineReport {
         born_ms: None,
         layers: None,
-        order_under_way: false,
-        orders_taken: 0,
+        order_in_progress: false,
+        orders_accepted: 0,
         waiting: 0,
         running: 0,
         kv_share: 0.0,
--- a/crates/sillbank_gateway/tests/silence_timer.rs
+++ b/crates/sillbank_gateway/tests/silence_timer.rs
@@ -3,10 +3,10 @@
 use sillbank_gateway::streams::{Silence, SilenceTimer};
 use std::time::Duration;
 
-const GAP: Duration = Duration::from_millis(300);
+const GAP_OBJECTIVE: Duration = Duration::from_millis(300);
 
 /// Time until a stream that receives no data has been silent for long.
-fn until_long(timer: &mut SilenceTimer) -> Duration {
+fn time_until_long(timer: &mut SilenceTimer) -> Duration {
     let mut waited = Duration::ZERO;
     loop {
         waited += timer.wait();
@@ -16,38 +16,42 @@
     }
 }
 
+/// The first check leaves at least half of the gap objective for moving the stream.
 #[test]
-fn the_first_silence_leaves_time_to_move_within_the_longest_pause_in_time() {
-    let mut timer = SilenceTimer::new(Some(GAP));
+fn first_check_comes_within_half_of_the_gap_objective() {
+    let mut timer = SilenceTimer::new(Some(GAP_OBJECTIVE));
 
     let first = timer.wait();
 
     assert_eq!(timer.on_silence(), Silence::Short(first));
-    assert!(first <= GAP / 2, "{first:?}");
+    assert!(first <= GAP_OBJECTIVE / 2, "{first:?}");
 }
 
+/// A stream without a gap objective is checked only after a long silence.
 #[test]
-fn a_stream_without_such_a_pause_is_looked_at_when_it_has_stood_still_for_long() {
+fn without_gap_objective_only_long_silences_are_checked() {
     let mut timer = SilenceTimer::new(None);
 
     assert_eq!(timer.on_silence(), Silence::Long);
 }
 
+/// A short silence before it does not delay the long one.
 #[test]
-fn a_long_silence_comes_no_later_because_of_a_short_one() {
-    let mut with_short = SilenceTimer::new(Some(GAP));
+fn short_check_does_not_delay_the_long_one() {
+    let mut with_short = SilenceTimer::new(Some(GAP_OBJECTIVE));
     let mut without = SilenceTimer::new(None);
 
-    assert_eq!(until_long(&mut with_short), until_long(&mut without));
+    assert_eq!(time_until_long(&mut with_short), time_until_long(&mut without));
 }
 
+/// A stream whose pauses are long causes only one or two false alarms.
 #[test]
-fn a_stream_whose_pauses_are_long_is_asked_about_less_and_less() {
-    let mut timer = SilenceTimer::new(Some(GAP));
+fn false_alarms_back_off() {
+    let mut timer = SilenceTimer::new(Some(GAP_OBJECTIVE));
     let mut short_silences = 0;
 
     for _ in 0..100 {
-        timer.on_heard(GAP);
+        timer.on_heard(GAP_OBJECTIVE);
         if timer.on_silence() != Silence::Long {
             short_silences += 1;
             timer.on_false_alarm();
@@ -57,9 +61,11 @@
     assert!((1..=2).contains(&short_silences), "{short_silences}");
 }
 
+/// A stream with frequent events is checked sooner than one with long pauses.
 #[test]
-fn a_stream_whose_events_come_quickly_is_asked_about_sooner() {
-    let (mut quick, mut slow) = (SilenceTimer::new(Some(GAP)), SilenceTimer::new(Some(GAP)));
+fn fast_stream_is_checked_sooner() {
+    let (mut quick, mut slow) =
+        (SilenceTimer::new(Some(GAP_OBJECTIVE)), SilenceTimer::new(Some(GAP_OBJECTIVE)));
 
     for _ in 0..20 {
         quick.on_heard(Duration::from_millis(35));
@@ -67,12 +73,13 @@
     }
 
     assert!(quick.wait() <= Duration::from_millis(100), "{:?}", quick.wait());
-    assert_eq!(slow.wait(), GAP / 2);
+    assert_eq!(slow.wait(), GAP_OBJECTIVE / 2);
 }
 
+/// Data that arrives within the same event does not shorten the usual pause.
 #[test]
-fn parts_of_one_event_are_no_pauses() {
-    let mut timer = SilenceTimer::new(Some(GAP));
+fn fragments_of_an_event_are_not_pauses() {
+    let mut timer = SilenceTimer::new(Some(GAP_OBJECTIVE));
 
     for _ in 0..20 {
         timer.on_heard(Duration::from_millis(60));
--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -246,7 +246,7 @@
                 }
             }
             Following::Pausing(pause) => {
-                if pause.left(now, &vm.hall, self.freshness).is_zero() {
+                if pause.remaining(now, &vm.hall, self.freshness).is_zero() {
                     vm.following = Following::Resting(now);
                 }
             }
--- a/crates/sillbank_gateway/tests/targets.rs
+++ b/crates/sillbank_gateway/tests/targets.rs
@@ -47,7 +47,7 @@
             kind: (*kind).to_owned(),
             serves: None,
             ordered: None,
-            order_under_way: false,
+            order_in_progress: false,
         })
     });
     engines.collect()
@@ -170,12 +170,12 @@
         engine.serves = Some(LayerRange { first, end: first + 10 });
     }
     engines[8].ordered = Some(LayerRange { first: 0, end: 10 });
-    engines[8].order_under_way = true;
+    engines[8].order_in_progress = true;
 
     let targets = mended_targets(&engines, &figures(), &mut Chains::new(), LOAD).expect("it fits");
 
     assert!(targets.iter().all(|target| target.endpoint != "l4-8"));
-    assert!(targets.iter().all(|target| target.give_up == GiveUp::WhenUnused));
+    assert!(targets.iter().all(|target| target.give_up == ReleaseMode::WhenUnused));
 }
 
 /// Parts that a path may have on the platform known.
--- a/crates/sillbank_gateway/tests/vm_limits.rs
+++ b/crates/sillbank_gateway/tests/vm_limits.rs
@@ -2,7 +2,7 @@
 
 use arbitrary::Unstructured;
 use sillbank_gateway::vm_limits::{
-    LimitMeter, Standing, VmCapacity, VmLimit, VmReading, others_suffice,
+    LimitMeter, LimitState, VmCapacity, VmLimit, VmReading, others_suffice,
 };
 use sillbank_testing::for_fixed_seeds;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
     VmCapacity { link_mbps: 14.0, kept_bytes: 28_000_000, connections: 1_307 };
 const LINK_BYTES_PER_S: f64 = 1.75e6;
 
-const REST: VmReading = VmReading {
+const IDLE: VmReading = VmReading {
     passed_bytes: 0,
     requests: 10,
     kept_bytes: 0,
@@ -34,7 +34,7 @@
     }
 
     /// Runs for a time at a reading and a rate; returns the state at the end.
-    fn run(&mut self, seconds: f64, rate_bytes_per_s: f64, reading: VmReading) -> Standing {
+    fn run(&mut self, seconds: f64, rate_bytes_per_s: f64, reading: VmReading) -> LimitState {
         let ticks = (seconds / TICK.as_secs_f64()).round() as u32;
         for _ in 0..ticks {
             self.now += TICK;
@@ -42,86 +42,92 @@
             let reading = VmReading { passed_bytes: self.passed_bytes as u64, ..reading };
             self.meter.on_reading(self.now, reading, SMALL);
         }
-        self.meter.standing()
+        self.meter.state()
     }
 }
 
-fn with_lag(lag_ms: u64) -> VmReading {
-    VmReading { timer_lag: Duration::from_millis(lag_ms), ..REST }
+fn reading_with_lag(lag_ms: u64) -> VmReading {
+    VmReading { timer_lag: Duration::from_millis(lag_ms), ..IDLE }
 }
 
+/// A saturated link stops new requests; two seconds after the load drops they are accepted again.
 #[test]
-fn a_link_that_is_nearly_used_up_stops_new_requests_and_frees_them_soon_after() {
+fn saturated_link_refuses_requests_and_recovers() {
     let mut vm = Vm::new();
 
-    let usual = vm.run(5.0, 0.5 * LINK_BYTES_PER_S, REST);
-    let near = vm.run(5.0, 0.9 * LINK_BYTES_PER_S, REST);
-    let full = vm.run(5.0, 1.1 * LINK_BYTES_PER_S, REST);
+    let usual = vm.run(5.0, 0.5 * LINK_BYTES_PER_S, IDLE);
+    let near = vm.run(5.0, 0.9 * LINK_BYTES_PER_S, IDLE);
+    let full = vm.run(5.0, 1.1 * LINK_BYTES_PER_S, IDLE);
     let limit = vm.meter.pressures().worst().0;
-    let after = vm.run(2.0, 0.3 * LINK_BYTES_PER_S, REST);
+    let after = vm.run(2.0, 0.3 * LINK_BYTES_PER_S, IDLE);
 
-    assert_eq!([usual, near, full], [Standing::Clear, Standing::Near, Standing::Full]);
+    assert_eq!([usual, near, full], [LimitState::Clear, LimitState::Near, LimitState::Full]);
     assert_eq!(limit, VmLimit::Link);
-    assert_eq!(after, Standing::Clear);
+    assert_eq!(after, LimitState::Clear);
 }
 
+/// A burst of admitted requests counts as link load before their answers are sent.
 #[test]
-fn requests_that_were_let_in_count_before_their_answers_flow() {
+fn admitted_requests_count_before_their_answers() {
     let mut vm = Vm::new();
-    vm.run(5.0, 0.4 * LINK_BYTES_PER_S, REST);
+    vm.run(5.0, 0.4 * LINK_BYTES_PER_S, IDLE);
 
-    let standing = vm.run(0.1, 0.4 * LINK_BYTES_PER_S, VmReading { requests: 30, ..REST });
+    let state = vm.run(0.1, 0.4 * LINK_BYTES_PER_S, VmReading { requests: 30, ..IDLE });
 
-    assert_eq!(standing, Standing::Full);
+    assert_eq!(state, LimitState::Full);
 }
 
+/// Late timers put a VM near its limit within two seconds, and it is clear again two seconds after.
 #[test]
-fn a_vm_that_is_slowed_is_near_its_limit_within_two_seconds_and_clear_two_seconds_after() {
+fn slow_vm_is_near_its_limit_within_two_seconds() {
     let mut vm = Vm::new();
 
-    let before = vm.run(5.0, 0.0, with_lag(20));
-    let slowed = vm.run(2.0, 0.0, with_lag(140));
-    let after = vm.run(2.0, 0.0, with_lag(20));
+    let before = vm.run(5.0, 0.0, reading_with_lag(20));
+    let slowed = vm.run(2.0, 0.0, reading_with_lag(140));
+    let after = vm.run(2.0, 0.0, reading_with_lag(20));
 
-    assert_eq!([before, slowed, after], [Standing::Clear, Standing::Near, Standing::Clear]);
+    assert_eq!([before, slowed, after], [LimitState::Clear, LimitState::Near, LimitState::Clear]);
 }
 
+/// A single stall of four seconds does not put a VM near its limit.
 #[test]
-fn a_vm_that_stood_still_once_is_not_held_for_slow() {
+fn single_stall_does_not_count_as_slow() {
     let mut vm = Vm::new();
-    vm.run(5.0, 0.0, with_lag(20));
+    vm.run(5.0, 0.0, reading_with_lag(20));
 
-    let woken = vm.run(0.1, 0.0, with_lag(4_000));
+    let woken = vm.run(0.1, 0.0, reading_with_lag(4_000));
 
-    assert_eq!(woken, Standing::Clear);
+    assert_eq!(woken, LimitState::Clear);
 }
 
+/// Memory and connections change the state with the first reading.
 #[test]
-fn memory_and_connections_count_at_once() {
-    let kept = Vm::new().run(0.1, 0.0, VmReading { kept_bytes: 27_000_000, ..REST });
-    let open = Vm::new().run(0.1, 0.0, VmReading { connections: 1_100, ..REST });
+fn memory_and_connections_are_not_averaged() {
+    let kept = Vm::new().run(0.1, 0.0, VmReading { kept_bytes: 27_000_000, ..IDLE });
+    let open = Vm::new().run(0.1, 0.0, VmReading { connections: 1_100, ..IDLE });
 
-    assert_eq!([kept, open], [Standing::Full, Standing::Near]);
+    assert_eq!([kept, open], [LimitState::Full, LimitState::Near]);
 }
 
+/// A VM without free connections still accepts requests on the existing ones.
 #[test]
-fn a_vm_whose_connections_are_used_up_still_serves_those_who_are_connected() {
-    let used_up = VmReading { connections: SMALL.connections, ..REST };
+fn exhausted_connections_do_not_refuse_requests() {
+    let used_up = VmReading { connections: SMALL.connections, ..IDLE };
 
-    let standing = Vm::new().run(5.0, 0.0, used_up);
+    let state = Vm::new().run(5.0, 0.0, used_up);
 
-    assert_eq!(standing, Standing::Near);
+    assert_eq!(state, LimitState::Near);
 }
 
 /// Guards against oscillation: a steady load has one state, whatever came before.
 #[test]
-fn a_steady_load_changes_the_standing_at_most_while_the_means_settle() {
+fn steady_load_does_not_oscillate() {
     for_fixed_seeds(200, 512, |u| {
         let mut vm = Vm::new();
         for _ in 0..u.int_in_range(0..=5)? {
-            vm.run(1.0, rate(u)?, with_lag(u.int_in_range(0..=300)?));
+            vm.run(1.0, rate(u)?, reading_with_lag(u.int_in_range(0..=300)?));
         }
-        let (rate, reading) = (rate(u)?, with_lag(u.int_in_range(0..=300)?));
+        let (rate, reading) = (rate(u)?, reading_with_lag(u.int_in_range(0..=300)?));
         let settled = vm.run(6.0, rate, reading);
 
         for _ in 0..30 {
@@ -135,8 +141,9 @@
     Ok(f64::from(u.int_in_range(0..=150)?) / 100.0 * LINK_BYTES_PER_S)
 }
 
+/// Any reading and capacity, however extreme, give finite pressures of at least 0.
 #[test]
-fn absurd_figures_give_pressures_that_are_numbers() {
+fn extreme_readings_give_finite_pressures() {
     for_fixed_seeds(200, 1_024, |u| {
         let mut meter = LimitMeter::default();
         let began = Instant::now();
@@ -163,8 +170,9 @@
     });
 }
 
+/// Others suffice if at least one is fit and they are at least half of the hall's VMs.
 #[test]
-fn a_vm_is_not_ready_only_while_half_of_its_hall_is_fit_beside_it() {
+fn enough_others_means_half_of_the_hall() {
     let suffices = [(0, 1), (0, 2), (1, 2), (1, 3), (2, 4), (23, 48)];
 
     let answers = suffices.map(|(fit_others, vms)| others_suffice(fit_others, vms));
