--- a/crates/sillbank_gateway/src/answers.rs
+++ b/crates/sillbank_gateway/src/answers.rs
@@ -37,11 +37,13 @@
     }
 }
 
-/// Raises a failure's `Retry-After` to at least `least`, as the request would be refused again
-/// before.
-pub fn with_min_retry_after(failure: Failure, least: Option<Duration>) -> Failure {
-    match (failure.retry_after, least) {
-        (Some(after), Some(least)) => failure.retry_after(after.max(least)),
+/// Raises a failure's `Retry-After` to at least `min_retry_after`, as the request would be refused
+/// again before.
+pub fn with_min_retry_after(failure: Failure, min_retry_after: Option<Duration>) -> Failure {
+    match (failure.retry_after, min_retry_after) {
+        (Some(retry_after), Some(min_retry_after)) => {
+            failure.retry_after(retry_after.max(min_retry_after))
+        }
         _ => failure,
     }
 }
--- a/crates/sillbank_gateway/src/backoff.rs
+++ b/crates/sillbank_gateway/src/backoff.rs
@@ -21,12 +21,12 @@
 }
 
 impl Backoff {
-    /// Starts the pause after another failed call. `draw` is a random number from 0 to 1.
-    pub fn next_pause(&mut self, now: Instant, draw: f64) -> Pause {
+    /// Starts the pause after another failed call. `random` is a random number from 0 to 1.
+    pub fn next_pause(&mut self, now: Instant, random: f64) -> Pause {
         let exponential = INITIAL_PAUSE.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
-        let share = MIN_RANDOM_SHARE + (1.0 - MIN_RANDOM_SHARE) * draw.clamp(0.0, 1.0);
-        Pause { began: now, exponential, share }
+        let random_share = MIN_RANDOM_SHARE + (1.0 - MIN_RANDOM_SHARE) * random.clamp(0.0, 1.0);
+        Pause { began: now, exponential, random_share }
     }
 }
 
@@ -35,7 +35,7 @@
 pub struct Pause {
     began: Instant,
     exponential: Duration,
-    share: f64,
+    random_share: f64,
 }
 
 impl Pause {
@@ -50,7 +50,7 @@
         // pauses were random. With a random share of the longest pause as well, it called 3.4 times
         // a second where two calls a second serve the hall as well.
         let is_randomised = hall.tells.get().is_none() || full < longest;
-        let share = if is_randomised { self.share } else { 1.0 };
-        (self.began + full.mul_f64(share)).saturating_duration_since(now)
+        let random_share = if is_randomised { self.random_share } else { 1.0 };
+        (self.began + full.mul_f64(random_share)).saturating_duration_since(now)
     }
 }
--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -32,7 +32,7 @@
 /// A body that was read completely.
 struct ReadBody {
     bytes: Bytes,
-    kept: KeptShare,
+    memory: KeptShare,
 }
 
 /// Handles callers' requests.
@@ -202,9 +202,9 @@
             let reason = format!("the body is longer than {} bytes", limits.max_body_bytes);
             Failure::before_work(FailureKind::TooLarge, reason)
         };
-        let mut kept = self.gateway.kept.try_keep(0).ok_or_else(out_of_memory)?;
+        let mut memory = self.gateway.kept.try_keep(0).ok_or_else(out_of_memory)?;
         if body.is_end_stream() {
-            return Ok(ReadBody { bytes: Bytes::new(), kept });
+            return Ok(ReadBody { bytes: Bytes::new(), memory });
         }
         if body.size_hint().lower() > limits.max_body_bytes as u64 {
             return Err(too_large());
@@ -217,7 +217,7 @@
             };
             let next = async { Ok(body.frame().await) };
             let Some(frame) = futures_lite::future::or(next, timeout).await? else {
-                return Ok(ReadBody { bytes: buffer.freeze(), kept });
+                return Ok(ReadBody { bytes: buffer.freeze(), memory });
             };
             let frame = frame.map_err(|error| {
                 Failure::before_work(FailureKind::MalformedBody, format!("the body broke: {error}"))
@@ -226,7 +226,7 @@
                 if buffer.len() + data.len() > limits.max_body_bytes {
                     return Err(too_large());
                 }
-                if !kept.try_grow(BODY_COPIES * data.len()) {
+                if !memory.try_grow(BODY_COPIES * data.len()) {
                     return Err(out_of_memory());
                 }
                 buffer.extend_from_slice(&data);
@@ -253,7 +253,7 @@
             target: parts.uri,
             headers,
             body: body.bytes,
-            kept: body.kept,
+            memory: body.memory,
             route: admitted.route,
             service: admitted.service,
             organisation: admitted.organisation,
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -134,7 +134,7 @@
         let (incarnation, began) = (chance.number(), Instant::now());
         Self {
             knowledge: Knowledge::new(settings.key_revocation),
-            kept: KeptBytes::new(settings.kept_bound_bytes()),
+            kept: KeptBytes::new(settings.buffer_limit_bytes()),
             settings: RefCell::new(Rc::new(settings)),
             store: CountedStore::new(store, metrics.store_calls.clone()),
             unreadable: UnreadableEntries::default(),
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -42,7 +42,7 @@
     /// The complete body.
     pub body: Bytes,
     /// Memory budget taken by the body.
-    pub kept: KeptShare,
+    pub memory: KeptShare,
     /// Route that the request matched.
     pub route: Rc<Route>,
     /// Service chosen by the route.
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -167,7 +167,7 @@
     /// The head as received; it says whether the connection stays open.
     pub head: HeaderMap,
     /// Memory budget taken by the body until it is sent to the caller.
-    pub kept: KeptShare,
+    pub memory: KeptShare,
 }
 
 /// Reads a complete reply of up to `limit_bytes`.
@@ -180,7 +180,7 @@
     kept: &KeptBytes,
 ) -> Result<BufferedReply, String> {
     let out_of_memory = || "the VM keeps no more for its callers".to_owned();
-    let mut kept = kept.try_keep(0).ok_or_else(out_of_memory)?;
+    let mut memory = kept.try_keep(0).ok_or_else(out_of_memory)?;
     let (head, body) = reply.into_parts();
     let headers = head.headers.clone();
     let mut body = Limited::new(body, limit_bytes);
@@ -188,13 +188,13 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| format!("the answer broke off: {error}"))?;
         let Ok(data) = frame.into_data() else { continue };
-        if !kept.try_grow(data.len()) {
+        if !memory.try_grow(data.len()) {
             return Err(out_of_memory());
         }
         buffer.extend_from_slice(&data);
     }
     let reply = Response::from_parts(head, ReplyBody::Whole(Full::new(buffer.freeze())));
-    Ok(BufferedReply { reply: strip_reply_headers(reply), head: headers, kept })
+    Ok(BufferedReply { reply: strip_reply_headers(reply), head: headers, memory })
 }
 
 /// Removes hop-by-hop headers from a reply.
--- a/crates/sillbank_gateway/src/settings.rs
+++ b/crates/sillbank_gateway/src/settings.rs
@@ -70,7 +70,7 @@
     }
 
     /// Maximum bytes that this process buffers for callers and endpoints.
-    pub fn kept_bound_bytes(&self) -> usize {
+    pub fn buffer_limit_bytes(&self) -> usize {
         (self.memory_mb * BYTES_PER_MB * BUFFER_SHARE) as usize
     }
 }
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -84,7 +84,7 @@
     }
 
     /// Records that data arrived, `pause` after the data before.
-    pub fn on_heard(&mut self, pause: Duration) {
+    pub fn on_data(&mut self, pause: Duration) {
         if pause >= MIN_PAUSE {
             let usual = self.usual_pause.unwrap_or(pause);
             let usual = usual.mul_f64(1.0 - PAUSE_WEIGHT) + pause.mul_f64(PAUSE_WEIGHT);
@@ -269,9 +269,9 @@
     lost: &[EndpointId],
 ) -> Option<LayerPath> {
     let figures = job.service.engine.as_ref()?;
-    let home = gateway.settings().hall.clone();
+    let local_hall = gateway.settings().hall.clone();
     let views = gateway.views(Instant::now());
-    let ask = path_ask(job, figures, &home, lost);
+    let ask = path_ask(job, figures, &local_hall, lost);
     lost.iter().try_fold(path.clone(), |path, lost| choose_mended_path(views, ask, &path, lost))
 }
 
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -159,7 +159,7 @@
                 continue;
             };
             let now = Instant::now();
-            silence_timer.on_heard(now.saturating_duration_since(last_data_at));
+            silence_timer.on_data(now.saturating_duration_since(last_data_at));
             last_data_at = now;
             if let Some(activity) = &activity {
                 activity.on_event(now);
--- a/crates/sillbank_gateway/src/streams/target.rs
+++ b/crates/sillbank_gateway/src/streams/target.rs
@@ -53,22 +53,22 @@
     avoid: &[EndpointId],
 ) -> Result<Target, NoTarget> {
     let now = Instant::now();
-    let home = gateway.settings().hall.clone();
+    let local_hall = gateway.settings().hall.clone();
     let Some(figures) = &job.service.engine else {
         return choose_endpoint(gateway, job, avoid, now);
     };
     let views = gateway.views(now);
-    let ask = path_ask(job, figures, &home, avoid);
+    let ask = path_ask(job, figures, &local_hall, avoid);
     let mut avoid = avoid.to_vec();
     if let Some(remaining) = gateway.kept_apart_for(job) {
         let mut candidates = first_engines(views, ask);
         // An endpoint that the request has tried counts again once it has restarted.
         let has_restarted = |first: &str| gateway.book.renewed_since(first, job.received_at);
         candidates.retain(|first| !avoid.contains(first) || has_restarted(first));
-        let Some(risked) = risked_engine(&candidates, &avoid) else {
+        let Some(chosen) = risked_engine(&candidates, &avoid) else {
             return Err(NoTarget::Isolated(remaining));
         };
-        avoid.extend(candidates.iter().filter(|first| *first != risked).cloned());
+        avoid.extend(candidates.iter().filter(|first| *first != chosen).cloned());
     }
     let ask = PathAsk { avoid: &avoid, ..ask };
     if let Some(path) = choose_path(views, ask) {
@@ -99,15 +99,17 @@
     avoid: &[EndpointId],
     now: Instant,
 ) -> Result<Target, NoTarget> {
-    let home = gateway.settings().hall.clone();
+    let local_hall = gateway.settings().hall.clone();
     let views = gateway.views(now);
     gateway.knowledge.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
-        let available =
-            usable.filter(|r| !avoid.contains(&r.id) && gateway.book.takes_work(&r.id, now));
+        let available = usable.filter(|record| {
+            !avoid.contains(&record.id) && gateway.book.takes_work(&record.id, now)
+        });
         let available: Vec<_> = available.collect();
-        let may_send = available.iter().filter(|r| views.may_send(&r.id));
-        let best = may_send.min_by_key(|r| (gateway.book.in_flight(&r.id), r.hall != home));
+        let may_send = available.iter().filter(|record| views.may_send(&record.id));
+        let best = may_send
+            .min_by_key(|record| (gateway.book.in_flight(&record.id), record.hall != local_hall));
         match best {
             Some(best) => {
                 Ok(Target { endpoint: best.id.clone(), address: best.address, path: None })
--- a/crates/sillbank_gateway/src/vm_limits/meter.rs
+++ b/crates/sillbank_gateway/src/vm_limits/meter.rs
@@ -57,9 +57,9 @@
     /// Rate of its link, in Mbit/s.
     pub link_mbps: f64,
     /// Maximum bytes buffered for callers and endpoints.
-    pub kept_bytes: usize,
+    pub max_buffered_bytes: usize,
     /// Maximum connections of callers.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// Resources that a VM uses at one moment.
@@ -72,7 +72,7 @@
     /// Requests in progress.
     pub requests: u64,
     /// Bytes buffered for callers and endpoints.
-    pub kept_bytes: usize,
+    pub buffered_bytes: usize,
     /// Connections of callers, and of VMs that ask this one.
     pub connections: usize,
     /// Lag of the reading's timer.
@@ -154,8 +154,8 @@
         let link_bytes_per_s = capacity.link_mbps * 1e6 / BITS_PER_BYTE;
         self.pressures = Pressures {
             link: use_of(self.expected_rate(reading.requests), link_bytes_per_s),
-            memory: use_of(reading.kept_bytes as f64, capacity.kept_bytes as f64),
-            descriptors: use_of(reading.connections as f64, capacity.connections as f64),
+            memory: use_of(reading.buffered_bytes as f64, capacity.max_buffered_bytes as f64),
+            descriptors: use_of(reading.connections as f64, capacity.max_connections as f64),
             processor: use_of(self.mean_lag_s, MAX_TIMER_LAG.as_secs_f64()),
         };
         let state = self.next_state();
--- a/crates/sillbank_gateway/src/vm_limits/monitor.rs
+++ b/crates/sillbank_gateway/src/vm_limits/monitor.rs
@@ -21,15 +21,15 @@
         let reading = VmReading {
             passed_bytes: gateway.kept.passed_bytes(),
             requests: gateway.in_progress.get(),
-            kept_bytes: gateway.kept.kept_bytes(),
+            buffered_bytes: gateway.kept.kept_bytes(),
             connections: gateway.kept.connections(),
             timer_lag: now.saturating_duration_since(due),
         };
         let settings = gateway.settings();
         let capacity = VmCapacity {
             link_mbps: settings.link_mbps,
-            kept_bytes: settings.kept_bound_bytes(),
-            connections: settings.max_caller_connections(),
+            max_buffered_bytes: settings.buffer_limit_bytes(),
+            max_connections: settings.max_caller_connections(),
         };
         let has_changed = gateway.limits.borrow_mut().on_reading(now, reading, capacity);
         update_metrics(&gateway);
@@ -60,7 +60,7 @@
         pressure,
         requests = reading.requests,
         connections = reading.connections,
-        kept_bytes = reading.kept_bytes,
+        kept_bytes = reading.buffered_bytes,
         timer_lag_ms = reading.timer_lag.as_millis() as u64,
         acts = gateway.settings().mechanisms.vm_limits,
         "{message}"
--- a/crates/sillbank_gateway/tests/events.rs
+++ b/crates/sillbank_gateway/tests/events.rs
@@ -50,20 +50,20 @@
 #[test]
 fn fragmentation_does_not_change_events() {
     for_fixed_seeds(200, 1024, |u| {
-        let mut whole = Vec::new();
+        let mut input = Vec::new();
         for number in 0..u.int_in_range(1..=20)? {
-            whole.extend_from_slice(format!("id: {number}\ndata: {number}\n\n").as_bytes());
+            input.extend_from_slice(format!("id: {number}\ndata: {number}\n\n").as_bytes());
         }
         let mut splitter = EventSplitter::default();
-        let mut out = Vec::new();
-        let mut rest = whole.as_slice();
-        while !rest.is_empty() {
-            let (piece, tail) = rest.split_at(u.int_in_range(1..=rest.len().min(40))?);
+        let mut output = Vec::new();
+        let mut remaining = input.as_slice();
+        while !remaining.is_empty() {
+            let (piece, tail) = remaining.split_at(u.int_in_range(1..=remaining.len().min(40))?);
             splitter.push(piece).expect("event below the size limit");
-            out.extend(take_all(&mut splitter).into_iter().flat_map(|(_, bytes)| bytes));
-            rest = tail;
+            output.extend(take_all(&mut splitter).into_iter().flat_map(|(_, bytes)| bytes));
+            remaining = tail;
         }
-        assert_eq!(out, whole);
+        assert_eq!(output, input);
         Ok(())
     });
 }
--- a/crates/sillbank_gateway/tests/settings.rs
+++ b/crates/sillbank_gateway/tests/settings.rs
@@ -78,5 +78,5 @@
     let settings =
         read_text("test", &format!("{MINIMAL}memory_mb = 112\n")).expect("valid settings");
 
-    assert_eq!(settings.kept_bound_bytes(), 28_000_000);
+    assert_eq!(settings.buffer_limit_bytes(), 28_000_000);
 }
--- a/crates/sillbank_gateway/tests/silence_timer.rs
+++ b/crates/sillbank_gateway/tests/silence_timer.rs
@@ -51,7 +51,7 @@
     let mut short_silences = 0;
 
     for _ in 0..100 {
-        timer.on_heard(GAP_OBJECTIVE);
+        timer.on_data(GAP_OBJECTIVE);
         if timer.on_silence() != Silence::Long {
             short_silences += 1;
             timer.on_false_alarm();
@@ -68,8 +68,8 @@
         (SilenceTimer::new(Some(GAP_OBJECTIVE)), SilenceTimer::new(Some(GAP_OBJECTIVE)));
 
     for _ in 0..20 {
-        quick.on_heard(Duration::from_millis(35));
-        slow.on_heard(Duration::from_millis(120));
+        quick.on_data(Duration::from_millis(35));
+        slow.on_data(Duration::from_millis(120));
     }
 
     assert!(quick.wait() <= Duration::from_millis(100), "{:?}", quick.wait());
@@ -82,8 +82,8 @@
     let mut timer = SilenceTimer::new(Some(GAP_OBJECTIVE));
 
     for _ in 0..20 {
-        timer.on_heard(Duration::from_millis(60));
-        timer.on_heard(Duration::from_millis(1));
+        timer.on_data(Duration::from_millis(60));
+        timer.on_data(Duration::from_millis(1));
     }
 
     assert!(timer.wait() >= Duration::from_millis(120), "{:?}", timer.wait());
--- a/crates/sillbank_gateway/tests/vm_limits.rs
+++ b/crates/sillbank_gateway/tests/vm_limits.rs
@@ -10,13 +10,13 @@
 const TICK: Duration = Duration::from_millis(100);
 /// The smallest known VM: 14 Mbit/s, a quarter of 112 MB, 2,870 descriptors.
 const SMALL: VmCapacity =
-    VmCapacity { link_mbps: 14.0, kept_bytes: 28_000_000, connections: 1_307 };
+    VmCapacity { link_mbps: 14.0, max_buffered_bytes: 28_000_000, max_connections: 1_307 };
 const LINK_BYTES_PER_S: f64 = 1.75e6;
 
 const IDLE: VmReading = VmReading {
     passed_bytes: 0,
     requests: 10,
-    kept_bytes: 0,
+    buffered_bytes: 0,
     connections: 20,
     timer_lag: Duration::from_millis(5),
 };
@@ -103,16 +103,16 @@
 /// Memory and connections change the state with the first reading.
 #[test]
 fn memory_and_connections_are_not_averaged() {
-    let kept = Vm::new().run(0.1, 0.0, VmReading { kept_bytes: 27_000_000, ..IDLE });
+    let buffering = Vm::new().run(0.1, 0.0, VmReading { buffered_bytes: 27_000_000, ..IDLE });
     let open = Vm::new().run(0.1, 0.0, VmReading { connections: 1_100, ..IDLE });
 
-    assert_eq!([kept, open], [LimitState::Full, LimitState::Near]);
+    assert_eq!([buffering, open], [LimitState::Full, LimitState::Near]);
 }
 
 /// A VM without free connections still accepts requests on the existing ones.
 #[test]
 fn exhausted_connections_do_not_refuse_requests() {
-    let used_up = VmReading { connections: SMALL.connections, ..IDLE };
+    let used_up = VmReading { connections: SMALL.max_connections, ..IDLE };
 
     let state = Vm::new().run(5.0, 0.0, used_up);
 
@@ -152,14 +152,14 @@
             let reading = VmReading {
                 passed_bytes: u.arbitrary()?,
                 requests: u.arbitrary()?,
-                kept_bytes: u.arbitrary()?,
+                buffered_bytes: u.arbitrary()?,
                 connections: u.arbitrary()?,
                 timer_lag: Duration::from_millis(u.arbitrary()?),
             };
             let capacity = VmCapacity {
                 link_mbps: f64::from(u.arbitrary::<u16>()?),
-                kept_bytes: u.arbitrary()?,
-                connections: u.arbitrary()?,
+                max_buffered_bytes: u.arbitrary()?,
+                max_connections: u.arbitrary()?,
             };
             meter.on_reading(now, reading, capacity);
 
