--- a/crates/sillbank_control/src/gossip.rs
+++ b/crates/sillbank_control/src/gossip.rs
@@ -56,9 +56,9 @@
 }
 
 /// Tells the hall that settings are new.
-pub(crate) async fn spread_news(control: &Rc<Control>) {
+pub(crate) async fn broadcast_news(control: &Rc<Control>) {
     let summary = control.summary();
-    let actions = control.membership.borrow_mut().spread_news(summary);
+    let actions = control.membership.borrow_mut().broadcast_news(summary);
     carry_out(control, actions).await;
 }
 
@@ -91,8 +91,10 @@
                     let objects = control.store.objects();
                     (objects.complete().unwrap_or(0), objects.digest())
                 };
-                let wanted =
-                    control.follower.borrow_mut().on_peer(now, peer, &summary, complete, digest);
+                let wanted = control
+                    .follower
+                    .borrow_mut()
+                    .on_peer_summary(now, peer, &summary, complete, digest);
                 match wanted {
                     Some(FollowAction::Pull { peer, after }) => {
                         let pull = peers::pull(control.clone(), peer, after);
--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -230,11 +230,12 @@
     /// Warns of missing or impossible figures of services' engines, which forecasts do not use.
     pub fn figures_unusable(&self, services: &[Service]) {
         for service in services {
-            let unusable = service.engine.as_ref().map(EngineFigures::unusable).unwrap_or_default();
-            if !unusable.is_empty() {
+            let invalid_figures =
+                service.engine.as_ref().map(EngineFigures::invalid_figures).unwrap_or_default();
+            if !invalid_figures.is_empty() {
                 tracing::warn!(
                     service = service.name,
-                    figures = unusable.join(","),
+                    figures = invalid_figures.join(","),
                     "catalog: Figures are missing or impossible; forecasts do not use them."
                 );
             }
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -10,7 +10,7 @@
 use crate::job::Job;
 use crate::metrics::{DemandLabel, RateLabel};
 use crate::wire::Wire;
-use sillbank_admission::returns::{FleetFlow, Refusal, ReturnTimes};
+use sillbank_admission::retry_after::{FleetRates, RefusedRequest, RetryScheduler};
 use sillbank_core::prelude::*;
 use sillbank_demand::prelude::*;
 use sillbank_demand::{MAX_SERVICES, add_rates};
@@ -22,9 +22,9 @@
 #[derive(Debug)]
 pub struct DemandBook {
     counter: RefCell<DemandCounter>,
-    sum: RefCell<DemandSum>,
-    route_times: RefCell<RouteTimes>,
-    returns: RefCell<HashMap<ServiceId, ReturnTimes>>,
+    sum: RefCell<DemandAggregator>,
+    route_times: RefCell<RetryDetector>,
+    returns: RefCell<HashMap<ServiceId, RetryScheduler>>,
     /// Where this VM stands among those that tell their first callers to come back, from 0 to 1.
     phase: f64,
     is_told: Cell<bool>,
@@ -38,7 +38,7 @@
     pub fn new(incarnation: Incarnation, now: Instant) -> Self {
         Self {
             counter: RefCell::new(DemandCounter::new(incarnation, now)),
-            sum: RefCell::new(DemandSum::new(now)),
+            sum: RefCell::new(DemandAggregator::new(now)),
             route_times: RefCell::default(),
             returns: RefCell::default(),
             phase: (incarnation % PHASES) as f64 / PHASES as f64,
@@ -50,13 +50,13 @@
         &self,
         service: &str,
         now: Instant,
-        change: impl FnOnce(&mut ReturnTimes) -> T,
+        change: impl FnOnce(&mut RetryScheduler) -> T,
     ) -> T {
         let mut all = self.returns.borrow_mut();
         if let Some(returns) = all.get_mut(service) {
             return change(returns);
         }
-        let mut returns = ReturnTimes::new(now, self.phase);
+        let mut returns = RetryScheduler::new(now, self.phase);
         let answer = change(&mut returns);
         all.insert(service.to_owned(), returns);
         answer
@@ -94,7 +94,7 @@
         if !is_told {
             let (rates, vms) = own();
             let all: Vec<DemandRate> =
-                rates.into_iter().map(|rate| rate.times(f64::from(vms))).collect();
+                rates.into_iter().map(|rate| rate.scaled(f64::from(vms))).collect();
             add_rates(&mut fleet.rates, &all);
             fleet.vms += vms;
         }
@@ -107,8 +107,8 @@
     pub fn count_offered(&self, job: &Job) {
         let mut route_times = self.demand.route_times.borrow_mut();
         let is_returning =
-            route_times.is_returning(job.received_at, &job.route.name, job.head.time_left);
-        let event = if is_returning { Event::Returned } else { Event::Offered };
+            route_times.is_retry(job.received_at, &job.route.name, job.head.time_left);
+        let event = if is_returning { DemandEvent::Retried } else { DemandEvent::Offered };
         self.count_demand(job, event);
     }
 
@@ -116,17 +116,17 @@
     pub fn on_let_in(&self, job: &Job) {
         let now = Instant::now();
         self.load.on_sent(&job.service.name, true, now);
-        let note = |returns: &mut ReturnTimes| returns.on_let_in(now, job.priority());
+        let note = |returns: &mut RetryScheduler| returns.record_admitted(now, job.rank());
         self.demand.with_returns(&job.service.name, now, note);
-        self.count_once(job, Event::LetIn);
+        self.count_once(job, DemandEvent::Admitted);
     }
 
     /// Counts what became of a request that has ended.
     pub fn count_end(&self, job: &Job, outcome: Outcome) {
         match outcome {
-            Outcome::Refused => self.count_once(job, Event::Refused),
+            Outcome::Refused => self.count_once(job, DemandEvent::Refused),
             Outcome::Answered | Outcome::Failed | Outcome::BrokenOff => {
-                self.count_once(job, Event::LetIn);
+                self.count_once(job, DemandEvent::Admitted);
             }
             Outcome::CallerLeft => {}
         }
@@ -136,16 +136,21 @@
     pub fn come_back(&self, job: &Job) -> Duration {
         let now = Instant::now();
         let refusal =
-            Refusal { rank: job.priority(), time_left: job.time_left(now), caller: job.caller };
+            RefusedRequest { rank: job.rank(), time_left: job.time_left(now), caller: job.caller };
         self.come_back_after(&job.service.name, refusal, now)
     }
 
     /// When the caller of a refused request of a service should come back.
-    pub fn come_back_after(&self, service: &str, refusal: Refusal, now: Instant) -> Duration {
+    pub fn come_back_after(
+        &self,
+        service: &str,
+        refusal: RefusedRequest,
+        now: Instant,
+    ) -> Duration {
         let fleet = self.fleet_demand(service, now);
         let is_used = fleet.is_told && self.settings.borrow().mechanisms.fleet_demand;
-        let flow = is_used.then_some(FleetFlow { rates: &fleet.rates, vms: fleet.vms });
-        let tell = |returns: &mut ReturnTimes| returns.on_refused(now, refusal, flow);
+        let flow = is_used.then_some(FleetRates { rates: &fleet.rates, vms: fleet.vms });
+        let tell = |returns: &mut RetryScheduler| returns.schedule_retry(now, refusal, flow);
         self.demand.with_returns(service, now, tell)
     }
 
@@ -176,7 +181,7 @@
         };
         let is_of_hall = ask.hall == self.settings.borrow().hall;
         if is_of_hall && self.hall.tells.get().is_some() {
-            self.demand.sum.borrow_mut().hear(now, &ask.vm, report);
+            self.demand.sum.borrow_mut().on_report(now, &ask.vm, report);
         }
     }
 
@@ -188,7 +193,7 @@
         }
         let own = self.demand.counter.borrow().report(now);
         let mut sum = self.demand.sum.borrow_mut();
-        sum.hear(now, &settings.vm, &own);
+        sum.on_report(now, &settings.vm, &own);
         Some(HallRates { age_ms: 0, rates: sum.rates(now)? })
     }
 
@@ -214,19 +219,19 @@
             self.metrics.fleet_demand_per_s.get_or_create(&label).set(per_s);
         };
         set("offered", rate.offered_per_s);
-        set("let_in", rate.let_in_per_s);
+        set("let_in", rate.admitted_per_s);
         set("refused", rate.refused_per_s);
-        set("returning", rate.returning_per_s);
+        set("returning", rate.retries_per_s);
     }
 
-    fn count_once(&self, job: &Job, event: Event) {
+    fn count_once(&self, job: &Job, event: DemandEvent) {
         if !job.is_counted.replace(true) {
             self.count_demand(job, event);
         }
     }
 
-    fn count_demand(&self, job: &Job, event: Event) {
-        let (service, rank) = (&job.service.name, counted_rank(job.priority()));
+    fn count_demand(&self, job: &Job, event: DemandEvent) {
+        let (service, rank) = (&job.service.name, clamp_rank(job.rank()));
         if !self.demand.counter.borrow_mut().count(Instant::now(), service, rank, event) {
             return;
         }
@@ -235,13 +240,13 @@
             self.metrics.demand.get_or_create(&label).inc();
         };
         match event {
-            Event::Offered => count("offered"),
-            Event::Returned => {
+            DemandEvent::Offered => count("offered"),
+            DemandEvent::Retried => {
                 count("offered");
                 count("returning");
             }
-            Event::LetIn => count("let_in"),
-            Event::Refused => count("refused"),
+            DemandEvent::Admitted => count("let_in"),
+            DemandEvent::Refused => count("refused"),
         }
     }
 
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -54,11 +54,11 @@
     /// What it was asked for in the last second, told to the leader of its own hall.
     pub demand: Option<DemandReport>,
     /// Requests under which it saw endpoints end, as far as it has not told them yet.
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectUpdate>,
     /// What endpoints told it of their limits, as far as it has not told that yet.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// What it, or as a leader its hall, would send to endpoints that name limits.
-    pub wants: Vec<Want>,
+    pub wants: Vec<RateDemand>,
 }
 
 /// What a leader's directory has that the asking VM lacks.
@@ -160,11 +160,15 @@
 }
 
 impl EngineState {
-    /// An engine by its newest report; `None` if it is lost. `newest_life` is the one that it tells of.
-    pub fn new(id: EndpointId, newest_life: Option<BornMs>, report: Option<&EngineReport>) -> Self {
+    /// An engine by its newest report; `None` if it is lost. `newest_incarnation` is the one that it tells of.
+    pub fn new(
+        id: EndpointId,
+        newest_incarnation: Option<BornMs>,
+        report: Option<&EngineReport>,
+    ) -> Self {
         Self {
             id,
-            born_ms: newest_life,
+            born_ms: newest_incarnation,
             is_lost: report.is_none(),
             layers: report.and_then(|report| report.layers),
             waiting: report.map_or(0, |report| report.waiting),
@@ -217,11 +221,11 @@
     /// Engines of this hall and of others, as far as they are new to the asking VM.
     pub boards: Vec<HallBoard>,
     /// Requests under which endpoints ended, as far as they are new to the asking VM.
-    pub quarantine: QuarantineNews,
+    pub quarantine: QuarantineUpdate,
     /// What endpoints said of their limits, as far as it is new to the asking VM.
-    pub limits: LimitsNews,
+    pub limits: LimitUpdates,
     /// The asking VM's parts of limits, or those of its hall if it leads another one.
-    pub parts: Vec<PartNews>,
+    pub parts: Vec<RateLeaseGrant>,
 }
 
 impl FeedNews {
--- a/crates/sillbank_gateway/src/forecasts.rs
+++ b/crates/sillbank_gateway/src/forecasts.rs
@@ -22,9 +22,9 @@
     /// When the stream was sent.
     pub sent_at: Instant,
     /// Prediction from the service's figures and the engines' load.
-    pub uncorrected: Predicted,
+    pub uncorrected: ForecastTimes,
     /// The same with the learned correction of the hall.
-    pub corrected: Predicted,
+    pub corrected: ForecastTimes,
 }
 
 /// Ratios of observed to forecast times, where both are known.
@@ -39,8 +39,8 @@
 /// Learned correction of one hall.
 #[derive(Debug, Clone, Copy, Default)]
 struct HallCorrection {
-    first_event: Correction,
-    pause: Correction,
+    first_event: ForecastCorrection,
+    pause: ForecastCorrection,
 }
 
 /// Learned corrections, by the hall in which paths start.
@@ -65,7 +65,7 @@
             Some((hall, forecast(ask.figures, &loads?, ask.demand)))
         })?;
         let correction = self.by_hall.borrow().get(&hall).copied().unwrap_or_default();
-        let corrected = Predicted {
+        let corrected = ForecastTimes {
             first_event: correction.first_event.apply(uncorrected.first_event),
             pause: correction.pause.apply(uncorrected.pause),
         };
@@ -107,13 +107,13 @@
             let mut by_hall = self.by_hall.borrow_mut();
             let correction = by_hall.entry(forecast.hall.clone()).or_default();
             if let Some(first_event) = first_event {
-                correction.first_event.learn(forecast.uncorrected.first_event, first_event);
+                correction.first_event.observe(forecast.uncorrected.first_event, first_event);
             }
             if let Some(pause) = pause {
-                correction.pause.learn(forecast.uncorrected.pause, pause);
+                correction.pause.observe(forecast.uncorrected.pause, pause);
             }
         }
-        let Predicted { first_event: expected_first_event, pause: expected_pause } =
+        let ForecastTimes { first_event: expected_first_event, pause: expected_pause } =
             forecast.corrected;
         let known = |ratio: f64| Some(ratio).filter(|ratio| ratio.is_finite());
         ForecastRatios {
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -73,7 +73,7 @@
     /// Endpoints that ended under requests.
     pub crashed_endpoints: CrashedEndpoints,
     /// What endpoints asked of VMs in their answers.
-    pub pushback: RefCell<PushbackBook>,
+    pub pushback: RefCell<PushbackTracker>,
     /// What this VM has given away of their limits while it leads.
     pub limit_parts: LimitParts,
     /// Requests under which endpoints ended.
@@ -258,7 +258,7 @@
         self.metrics.store_era.set(at.era as i64);
         self.knowledge.on_call_answered(sent);
         if !self.store_reached.replace(true) {
-            self.knowledge.on_store_back(Instant::now());
+            self.knowledge.on_store_recovered(Instant::now());
             tracing::info!(follower, "store: Back.");
         }
     }
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -9,8 +9,8 @@
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, Request, Uri};
-use sillbank_admission::ladder::Urgency;
-use sillbank_admission::returns::CallerMark;
+use sillbank_admission::retry_after::CallerId;
+use sillbank_admission::shedding::Priority;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_core::run::RunLog;
@@ -24,7 +24,7 @@
 
 /// Rank of requests for which neither the route nor the organisation sets one: the middle of 0 to
 /// 9.
-const DEFAULT_PRIORITY: u8 = 5;
+const DEFAULT_RANK: u8 = 5;
 /// Minimum time before the deadline at which a request is still sent.
 pub const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
@@ -62,7 +62,7 @@
     /// Forecast made at the first send; `None` inside if no forecast was possible.
     pub forecast: OnceCell<Option<StreamForecast>>,
     /// Identifies the caller by key and connection, to recognise callers who retry at once.
-    pub caller: Option<CallerMark>,
+    pub caller: Option<CallerId>,
     /// Cache of [`Job::fingerprint`].
     pub cached_fingerprint: OnceCell<Fingerprint>,
     /// Whether the request was counted as let in or refused.
@@ -77,7 +77,7 @@
 
     /// Fingerprint by which another try of the same request is recognised.
     pub fn fingerprint(&self) -> Fingerprint {
-        let parts = || RequestParts {
+        let parts = || RequestIdentity {
             host: &self.route.host,
             path: self.target.path_and_query().map_or("", |path| path.as_str()),
             organisation: self.organisation.as_ref().map(|o| o.name.as_str()),
@@ -88,7 +88,7 @@
 
     /// Whether the request may run more than once.
     pub fn is_idempotent(&self) -> bool {
-        self.route.kind.repeat() == Repeat::Safe
+        self.route.kind.idempotency() == Idempotency::Idempotent
     }
 
     /// Whether the route's limit of sends and the time left allow another send.
@@ -124,7 +124,7 @@
             endpoint,
             time_left: self.time_left(now),
             organisation: self.organisation.as_ref().map(|o| o.name.as_str()),
-            priority: self.priority(),
+            priority: self.rank(),
             path,
             resume_after: resume_after.or(self.head.resume_after),
         };
@@ -135,28 +135,28 @@
 
     /// Demand on engines: by the caller's token counts, or by the service's usual sizes if it gave
     /// none.
-    pub fn demand(&self, figures: &EngineFigures) -> Demand {
-        let usual = Demand::usual(figures);
+    pub fn demand(&self, figures: &EngineFigures) -> RequestSize {
+        let usual = RequestSize::usual(figures);
         let Some(tokens) = self.head.tokens else {
             return usual;
         };
         let max_output = f64::from(tokens.max_output);
         let expected_output = tokens.expected_output.map_or(usual.answer_tokens, f64::from);
-        Demand {
+        RequestSize {
             prompt_tokens: f64::from(tokens.prompt),
             answer_tokens: expected_output.min(max_output),
         }
     }
 
     /// Urgency, by which admission control ranks requests for the same engines.
-    pub fn urgency(&self) -> Urgency {
-        Urgency { organisation: self.priority(), route: self.route.priority }
+    pub fn priority(&self) -> Priority {
+        Priority { organisation: self.rank(), route: self.route.priority }
     }
 
     /// Rank of the request; 0 is the most urgent.
-    pub fn priority(&self) -> u8 {
+    pub fn rank(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|organisation| organisation.priority);
-        own.unwrap_or(self.route.priority.min(DEFAULT_PRIORITY))
+        own.unwrap_or(self.route.priority.min(DEFAULT_RANK))
     }
 }
 
@@ -202,7 +202,7 @@
 }
 
 /// Load that a request puts on the engines of its path.
-pub fn engine_shares(path: &LayerPath, demand: Demand) -> Vec<Share> {
+pub fn engine_shares(path: &LayerPath, demand: RequestSize) -> Vec<Share> {
     let share = |part: &PathPart| Share {
         endpoint: part.endpoint.clone(),
         kv: demand.kv_tokens() * part.layers.len() as f64,
--- a/crates/sillbank_gateway/src/retry_budget.rs
+++ b/crates/sillbank_gateway/src/retry_budget.rs
@@ -18,12 +18,12 @@
     /// Counts the first send of a service's request.
     pub fn record_first_send(&self, service: &str) {
         self.metrics.sends.get_or_create(&KindLabel { kind: "first" }).inc();
-        self.with_budget(service, |budget, now| budget.on_first(now));
+        self.with_budget(service, |budget, now| budget.record_first_send(now));
     }
 
     /// Takes a retry from a service's budget. Returns false if the budget is used up.
     pub fn try_retry(&self, service: &str) -> bool {
-        let is_allowed = self.with_budget(service, |budget, now| budget.try_repeat(now));
+        let is_allowed = self.with_budget(service, |budget, now| budget.try_retry(now));
         match is_allowed {
             true => self.metrics.sends.get_or_create(&KindLabel { kind: "repeat" }).inc(),
             false => self.metrics.repeats_denied.inc(),
--- a/crates/sillbank_gateway/src/shedding_metrics.rs
+++ b/crates/sillbank_gateway/src/shedding_metrics.rs
@@ -6,8 +6,8 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
-use sillbank_admission::ladder::Urgency;
-use sillbank_demand::counted_rank;
+use sillbank_admission::shedding::Priority;
+use sillbank_demand::clamp_rank;
 
 /// Labels of requests that asked for admission.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -47,13 +47,18 @@
     }
 
     /// Counts the result of a request for admission.
-    pub fn record_admission(&self, service: &str, urgency: Urgency, result: Result<(), NotLetIn>) {
+    pub fn record_admission(
+        &self,
+        service: &str,
+        priority: Priority,
+        result: Result<(), NotLetIn>,
+    ) {
         let end = match result {
             Ok(()) => "let_in",
             Err(NotLetIn { is_late: false, .. }) => "refused_rank",
             Err(NotLetIn { is_late: true, .. }) => "refused_late",
         };
-        let rank = counted_rank(urgency.organisation);
+        let rank = clamp_rank(priority.organisation);
         self.asked.get_or_create(&AdmissionLabel { service: service.to_owned(), rank, end }).inc();
     }
 
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -40,8 +40,8 @@
     pub(super) sent_at: Instant,
     /// When the first event arrived from this endpoint.
     pub(super) first_event_at: Option<Instant>,
-    /// Whether the request was found to have run here past its initial phase.
-    pub(super) has_passed_initial_phase: bool,
+    /// Whether the request was found to have run here past the suspicion window.
+    pub(super) has_passed_suspicion_window: bool,
 }
 
 impl Upstream {
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Records that an event arrived. Returns true once, when the request has run here past its
-    /// initial phase.
-    pub(super) fn passes_initial_phase(&mut self, now: Instant) -> bool {
+    /// Records that an event arrived. Returns true once, when the request has run here past the
+    /// suspicion window.
+    pub(super) fn passes_suspicion_window(&mut self, now: Instant) -> bool {
         let first = *self.first_event_at.get_or_insert(now);
-        let has_passed = now.saturating_duration_since(first) >= BEGINNING;
-        has_passed && !std::mem::replace(&mut self.has_passed_initial_phase, true)
+        let has_passed = now.saturating_duration_since(first) >= SUSPICION_WINDOW;
+        has_passed && !std::mem::replace(&mut self.has_passed_suspicion_window, true)
     }
 
     pub(super) fn active_route(&self) -> ActiveRoute<'_> {
@@ -142,7 +142,7 @@
                 _in_flight: in_flight,
                 sent_at,
                 first_event_at: None,
-                has_passed_initial_phase: false,
+                has_passed_suspicion_window: false,
             };
             AttemptResult::Replied(UpstreamReply::Stream(Box::new(upstream), status))
         }
@@ -164,7 +164,7 @@
         Ok(SendOutcome::NotRun(refusal)) => {
             let at_fault = refusal
                 .at_fault
-                .and_then(|address| Some(target.path.as_ref()?.at(address)?.endpoint.clone()));
+                .and_then(|address| Some(target.path.as_ref()?.part_at(address)?.endpoint.clone()));
             let reason = format!("refused with status {}", refusal.status);
             let blamed = at_fault.as_deref().unwrap_or(&endpoint);
             if !refusal.misdirected {
--- a/crates/sillbank_gateway/src/streams/open.rs
+++ b/crates/sillbank_gateway/src/streams/open.rs
@@ -109,7 +109,7 @@
         service: &job.service,
         figures,
         route: &job.route,
-        urgency: job.urgency(),
+        urgency: job.priority(),
         left: job.head.time_left,
         draw: gateway.chance.fraction(),
     };
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -174,7 +174,7 @@
                     return SegmentEnd::Broken(None, format!("the stream broke: {error}"));
                 }
                 Some(Ok(frame)) => {
-                    if upstream.passes_initial_phase(now) {
+                    if upstream.passes_suspicion_window(now) {
                         self.gateway.on_ran_well(&self.job);
                     }
                     if let Some(data) = frame.data_ref()
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -120,7 +120,7 @@
         now,
     };
     let figures = service.engine.as_ref().expect("the service has engine figures");
-    let demand = Demand::usual(figures);
+    let demand = RequestSize::usual(figures);
     let ask = PathAsk { service: &service, figures, home: LOCAL_HALL, avoid: &[], demand };
     let path = choose_path(views, ask).expect("a path exists");
     forecasts.predict(views, ask, &path)
