--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -228,7 +228,7 @@
     }
 
     /// Warns of missing or impossible figures of services' engines, which forecasts do not use.
-    pub fn figures_unusable(&self, services: &[Service]) {
+    pub fn warn_invalid_figures(&self, services: &[Service]) {
         for service in services {
             let invalid_figures =
                 service.engine.as_ref().map(EngineFigures::invalid_figures).unwrap_or_default();
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -249,7 +249,7 @@
         let is_taken = self.knowledge.offer_catalog(catalog, parts);
         self.decisions.catalog_read(Some(version), at, is_taken);
         if is_taken {
-            self.decisions.figures_unusable(&services);
+            self.decisions.warn_invalid_figures(&services);
         }
     }
 
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -116,8 +116,8 @@
 
     /// Resumes the stream on another path, if that is allowed.
     async fn resume(&self, avoid: Vec<EndpointId>) -> Option<Upstream> {
-        let is_held_back = self.gateway.held_back(&self.job).is_some();
-        if is_held_back || !self.rules.resumable || !self.gateway.may_send_again(&self.job) {
+        let is_quarantined = self.gateway.held_back(&self.job).is_some();
+        if is_quarantined || !self.rules.resumable || !self.gateway.may_send_again(&self.job) {
             return None;
         }
         match open_stream(&self.gateway, &self.job, self.last_number, avoid).await {
