--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -1,11 +1,11 @@
-//! Callers' requests: read, admitted, handed on.
+//! Reads and admits callers' requests and passes them on.
 
-use crate::answers::{COME_BACK_AT_LIMIT, COME_BACK_UNINFORMED, reply_of};
+use crate::answers::{RETRY_AFTER_AT_LIMIT, RETRY_AFTER_NOT_READY, failure_response};
 use crate::delivery::Delivery;
 use crate::gateway::{Gateway, LifecycleState, STARTUP_WAIT};
 use crate::job::{Job, strip_connection_headers};
 use crate::store::MetadataStore;
-use crate::vm_limits::Standing;
+use crate::vm_limits::LimitState;
 use crate::wire::{CallerHead, Wire};
 use crate::{calls, streams};
 use bytes::{Bytes, BytesMut};
@@ -25,17 +25,17 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// How often the body of a request is held at most: to send it once more, and in the buffer of the
-/// connection that takes it to an endpoint.
+/// Copies of a request's body held at the same time, at most: one for a retry, and one in the send
+/// buffer of the connection to the endpoint.
 const BODY_COPIES: usize = 2;
 
-/// A whole body.
+/// A body that was read completely.
 struct ReadBody {
     bytes: Bytes,
-    kept: KeptShare,
+    memory: KeptShare,
 }
 
-/// Answers callers.
+/// Handles callers' requests.
 #[derive(Debug)]
 pub struct CallerHandler<W, S> {
     /// The gateway.
@@ -43,9 +43,9 @@
 }
 
 /// Counts a request as in progress until dropped.
-struct Progress<W: Wire, S: MetadataStore>(Rc<Gateway<W, S>>);
+struct InProgressGuard<W: Wire, S: MetadataStore>(Rc<Gateway<W, S>>);
 
-impl<W: Wire, S: MetadataStore> Progress<W, S> {
+impl<W: Wire, S: MetadataStore> InProgressGuard<W, S> {
     fn begin(gateway: &Rc<Gateway<W, S>>) -> Self {
         gateway.in_progress.set(gateway.in_progress.get() + 1);
         gateway.metrics.in_progress.inc();
@@ -53,7 +53,7 @@
     }
 }
 
-impl<W: Wire, S: MetadataStore> Drop for Progress<W, S> {
+impl<W: Wire, S: MetadataStore> Drop for InProgressGuard<W, S> {
     fn drop(&mut self) {
         self.0.in_progress.set(self.0.in_progress.get() - 1);
         self.0.metrics.in_progress.dec();
@@ -62,8 +62,8 @@
 
 impl<W: Wire, S: MetadataStore> Handler for CallerHandler<W, S> {
     async fn handle(&self, request: Request<Incoming>) -> Response<ReplyBody> {
-        let _progress = Progress::begin(&self.gateway);
-        let began = Instant::now();
+        let _in_progress = InProgressGuard::begin(&self.gateway);
+        let received_at = Instant::now();
         let (parts, body) = request.into_parts();
         let head = match W::read_caller(&parts.headers) {
             Ok(head) => head,
@@ -72,11 +72,11 @@
                 return self.refuse("", &failure);
             }
         };
-        self.await_first_knowledge().await;
+        self.wait_for_startup().await;
         let admitted = self.admit(&head, &parts, Instant::now());
         match admitted {
             Ok(admitted) => match self.read_body(body, &admitted).await {
-                Ok(body) => self.serve(head, parts, body, admitted, began).await,
+                Ok(body) => self.serve(head, parts, body, admitted, received_at).await,
                 Err(failure) => self.refuse(&head.request_id, &failure),
             },
             Err(failure) => self.refuse(&head.request_id, &failure),
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a request was admitted to.
+/// Result of admitting a request.
 struct Admitted {
     route: Rc<Route>,
     service: Rc<Service>,
@@ -99,47 +99,48 @@
         let label =
             crate::metrics::OutcomeLabel { outcome: "refused", status: failure.kind.http_status() };
         self.gateway.metrics.requests.get_or_create(&label).inc();
-        reply_of::<W>(failure)
+        failure_response::<W>(failure)
     }
 
-    /// Waits a moment for what a process that has just begun needs to serve: it is on its way, so the
-    /// request is likely to be served. When all VMs begin at once, callers who are refused meet again.
-    async fn await_first_knowledge(&self) {
+    /// Waits, for a limited time, until a process that has just started knows enough to serve. That
+    /// state is about to arrive, so the request can probably be served; and when all VMs start at
+    /// once, refused callers would all retry together.
+    async fn wait_for_startup(&self) {
         let gateway = &self.gateway;
         let platform = &gateway.platform;
-        let knows_enough = || {
+        let can_serve = || {
             platform.catalog().is_some()
                 && platform.knows_endpoints()
                 && gateway.quarantine_is_loaded.get()
         };
-        let left = STARTUP_WAIT.saturating_sub(gateway.age(Instant::now()));
-        if knows_enough() || left.is_zero() {
+        let remaining = STARTUP_WAIT.saturating_sub(gateway.age(Instant::now()));
+        if can_serve() || remaining.is_zero() {
             return;
         }
-        let late = async {
-            smol::Timer::after(left).await;
+        let timeout = async {
+            smol::Timer::after(remaining).await;
         };
-        let known = async {
-            while !knows_enough() {
+        let ready = async {
+            while !can_serve() {
                 platform.changed().await;
             }
         };
-        futures_lite::future::or(known, late).await;
+        futures_lite::future::or(ready, timeout).await;
     }
 
-    /// Looks up route, key and service. A VM whose knowledge is not fresh denies nothing: it says
-    /// that it does not know.
+    /// Looks up route, key and service. A VM whose configuration is stale never denies a request;
+    /// it answers that it is not ready.
     fn admit(&self, head: &CallerHead, parts: &Parts, now: Instant) -> Result<Admitted, Failure> {
         if self.gateway.lifecycle.get() == LifecycleState::Stopping {
             let failure = Failure::before_work(FailureKind::Stopping, "the VM is stopping");
-            return Err(failure.retry_after(COME_BACK_UNINFORMED));
+            return Err(failure.retry_after(RETRY_AFTER_NOT_READY));
         }
         let platform = &self.gateway.platform;
-        let catalog = platform.catalog().ok_or_else(|| uninformed("no configuration is known"))?;
+        let catalog = platform.catalog().ok_or_else(|| not_ready("no configuration is known"))?;
         let is_fresh = platform.is_fresh(now);
         let deny = |kind, reason: &str| match is_fresh {
             true => Failure::before_work(kind, reason),
-            false => uninformed("the configuration could not be confirmed for too long"),
+            false => not_ready("the configuration could not be confirmed for too long"),
         };
         let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
         let route = catalog
@@ -153,7 +154,7 @@
                 let found =
                     found.ok_or_else(|| deny(FailureKind::UnknownKey, "the key is not known"))?;
                 if !is_fresh {
-                    return Err(uninformed("the key could not be confirmed for too long"));
+                    return Err(not_ready("the key could not be confirmed for too long"));
                 }
                 Some(found)
             }
@@ -161,15 +162,20 @@
         let service = route
             .choose_service(self.gateway.chance.fraction())
             .and_then(|name| catalog.service(name))
-            .ok_or_else(|| uninformed("the route's service is not configured"))?;
-        if self.gateway.standing() == Standing::Full {
-            return Err(self.at_limit(&route, &service.name, "the VM is at a limit of its own"));
+            .ok_or_else(|| not_ready("the route's service is not configured"))?;
+        if self.gateway.standing() == LimitState::Full {
+            return Err(self.at_limit_failure(
+                &route,
+                &service.name,
+                "the VM is at a limit of its own",
+            ));
         }
         Ok(Admitted { route, service, organisation, limits: catalog.limits() })
     }
 
-    /// Refuses a request as this VM is at a limit of its own; those who are refused come back apart.
-    fn at_limit(&self, route: &Route, service: &str, reason: &str) -> Failure {
+    /// Refuses a request because this VM is at one of its limits. Refused callers get spread-out
+    /// times to retry.
+    fn at_limit_failure(&self, route: &Route, service: &str, reason: &str) -> Failure {
         let failure = Failure::before_work(FailureKind::VmAtLimit, reason);
         match self.gateway.settings().mechanisms.return_times {
             true => {
@@ -178,7 +184,7 @@
                 let now = Instant::now();
                 failure.retry_after(self.gateway.retry_after_for(service, refusal, now))
             }
-            false => failure.retry_after(COME_BACK_AT_LIMIT),
+            false => failure.retry_after(RETRY_AFTER_AT_LIMIT),
         }
     }
 
@@ -188,42 +194,42 @@
         admitted: &Admitted,
     ) -> Result<ReadBody, Failure> {
         let limits = admitted.limits;
-        let no_memory = || {
+        let out_of_memory = || {
             let reason = "what the VM keeps for its callers has reached its bound";
-            self.at_limit(&admitted.route, &admitted.service.name, reason)
+            self.at_limit_failure(&admitted.route, &admitted.service.name, reason)
         };
         let too_large = || {
             let reason = format!("the body is longer than {} bytes", limits.max_body_bytes);
             Failure::before_work(FailureKind::TooLarge, reason)
         };
-        let mut kept = self.gateway.kept.try_keep(0).ok_or_else(no_memory)?;
+        let mut memory = self.gateway.kept.try_keep(0).ok_or_else(out_of_memory)?;
         if body.is_end_stream() {
-            return Ok(ReadBody { bytes: Bytes::new(), kept });
+            return Ok(ReadBody { bytes: Bytes::new(), memory });
         }
         if body.size_hint().lower() > limits.max_body_bytes as u64 {
             return Err(too_large());
         }
-        let mut whole = BytesMut::new();
+        let mut buffer = BytesMut::new();
         loop {
-            let late = async {
+            let timeout = async {
                 smol::Timer::after(limits.head_timeout).await;
                 Err(Failure::before_work(FailureKind::RequestTimeout, "the body stood still"))
             };
             let next = async { Ok(body.frame().await) };
-            let Some(frame) = futures_lite::future::or(next, late).await? else {
-                return Ok(ReadBody { bytes: whole.freeze(), kept });
+            let Some(frame) = futures_lite::future::or(next, timeout).await? else {
+                return Ok(ReadBody { bytes: buffer.freeze(), memory });
             };
             let frame = frame.map_err(|error| {
                 Failure::before_work(FailureKind::MalformedBody, format!("the body broke: {error}"))
             })?;
             if let Ok(data) = frame.into_data() {
-                if whole.len() + data.len() > limits.max_body_bytes {
+                if buffer.len() + data.len() > limits.max_body_bytes {
                     return Err(too_large());
                 }
-                if !kept.try_grow(BODY_COPIES * data.len()) {
-                    return Err(no_memory());
+                if !memory.try_grow(BODY_COPIES * data.len()) {
+                    return Err(out_of_memory());
                 }
-                whole.extend_from_slice(&data);
+                buffer.extend_from_slice(&data);
             }
         }
     }
@@ -234,37 +240,37 @@
         parts: Parts,
         body: ReadBody,
         admitted: Admitted,
-        began: Instant,
+        received_at: Instant,
     ) -> Response<ReplyBody> {
-        let caller = caller_mark(&head, &parts);
+        let caller = caller_id(&head, &parts);
         let mut headers = parts.headers;
         strip_connection_headers(&mut headers);
-        let longest = admitted.route.timeout;
-        let deadline = began + head.time_left.map_or(longest, |left| left.min(longest));
+        let max_time = admitted.route.timeout;
+        let deadline = received_at + head.time_left.map_or(max_time, |left| left.min(max_time));
         let job = Rc::new(Job {
             head,
             method: parts.method,
             target: parts.uri,
             headers,
             body: body.bytes,
-            kept: body.kept,
+            memory: body.memory,
             route: admitted.route,
             service: admitted.service,
             organisation: admitted.organisation,
-            began,
+            received_at,
             deadline,
             run: Cell::new(RunLog::default()),
             sends: Cell::new(0),
             delivery: Delivery::default(),
-            foretold: OnceCell::new(),
+            forecast: OnceCell::new(),
             caller,
-            known_fingerprint: OnceCell::new(),
+            cached_fingerprint: OnceCell::new(),
             is_counted: Cell::new(false),
         });
         if let Some(failure) = self.gateway.refuse_quarantined(&job) {
             return self.refuse(&job.head.request_id, &failure);
         }
-        self.gateway.count_first_send(&job.service.name);
+        self.gateway.record_first_send(&job.service.name);
         self.gateway.count_offered(&job);
         match job.route.kind {
             WorkKind::Call(_) => calls::answer(&self.gateway, &job).await,
@@ -273,8 +279,8 @@
     }
 }
 
-/// Key and connection of a request as one number.
-fn caller_mark(head: &CallerHead, parts: &Parts) -> Option<CallerId> {
+/// Hash of a request's key and connection.
+fn caller_id(head: &CallerHead, parts: &Parts) -> Option<CallerId> {
     let connection = parts.extensions.get::<ConnectionNumber>()?;
     let mut hasher = DefaultHasher::new();
     head.key.hash(&mut hasher);
@@ -282,6 +288,6 @@
     Some(hasher.finish())
 }
 
-fn uninformed(reason: &str) -> Failure {
-    Failure::before_work(FailureKind::NotReady, reason).retry_after(COME_BACK_UNINFORMED)
+fn not_ready(reason: &str) -> Failure {
+    Failure::before_work(FailureKind::NotReady, reason).retry_after(RETRY_AFTER_NOT_READY)
 }
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -1,16 +1,20 @@
 //! Handles plain calls: one answer, buffered whole before it goes to the caller.
 
-use crate::answers::{give_up, not_before, out_of_time, outcome_of, reply_of};
-use crate::channels::Channel;
-use crate::decisions::{Outcome, SendEnd};
+use crate::answers::{
+    deadline_failure, failure_outcome, failure_response, final_failure, with_min_retry_after,
+};
+use crate::connection_pool::PooledConnection;
+use crate::crashes::{BrokenSend, check_broken_send};
+use crate::decisions::{FailedSend, Outcome};
 use crate::endpoints::{Evidence, RequestPart};
-use crate::ends::{BrokenSend, on_broken_send};
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::metrics::KindLabel;
-use crate::sending::{Destination, Sent, WholeReply, evidence_of, read_whole, send};
+use crate::retries::{SendAttempts, SendFailureKind};
+use crate::sending::{
+    BufferedReply, Destination, SendOutcome, buffer_reply, health_evidence, send,
+};
 use crate::store::MetadataStore;
-use crate::tries::{Left, Tries};
 use crate::wire::Wire;
 use hyper::Response;
 use hyper::body::Incoming;
@@ -39,7 +43,7 @@
     let guard = CallEndGuard { gateway, job, ended: std::cell::Cell::new(false) };
     let late = async {
         smol::Timer::at(job.deadline).await;
-        Err(out_of_time(job.run.get()))
+        Err(deadline_failure(job.run.get()))
     };
     let ended = futures_lite::future::or(run(gateway, job), late).await;
     guard.ended.set(true);
@@ -51,8 +55,8 @@
         }
         Err(failure) => {
             let status = failure.kind.http_status();
-            gateway.on_end(job, outcome_of(&failure), status, 0, &failure.reason);
-            reply_of::<W>(&failure)
+            gateway.on_end(job, failure_outcome(&failure), status, 0, &failure.reason);
+            failure_response::<W>(&failure)
         }
     }
 }
@@ -85,8 +89,8 @@
     job: &Rc<Job>,
 ) -> Result<Response<ReplyBody>, Failure> {
     let mut tried: Vec<EndpointId> = Vec::new();
-    let mut tries = Tries::default();
-    let mut held: Option<WholeReply> = None;
+    let mut attempts = SendAttempts::default();
+    let mut held: Option<BufferedReply> = None;
     loop {
         let choice = choose_endpoint(gateway, job, &tried);
         let withheld_for = gateway.record_withheld(job);
@@ -94,11 +98,11 @@
             Ok(choice) => choice,
             Err(refused) => {
                 let least = withheld_for.filter(|_| refused.reason == CallRefusalReason::Withheld);
-                let failure = || not_before(refuse(gateway, job, refused), least);
+                let failure = || with_min_retry_after(refuse(gateway, job, refused), least);
                 return held.map(|whole| whole.reply).ok_or_else(failure);
             }
         };
-        tries.begin(job);
+        attempts.record_send(job);
         gateway.count_against_limit(&choice.endpoint);
         let sent_at = Instant::now();
         let (left, reason) = match try_once(gateway, job, &choice).await {
@@ -110,24 +114,24 @@
                 gateway.on_request_survived(job);
                 let reason = format!("status {}", whole.reply.status().as_u16());
                 held = Some(whole);
-                (Left::MayHaveRun, reason)
+                (SendFailureKind::MayHaveRun, reason)
             }
-            TryOutcome::NotRun(reason) => (Left::NotRun, reason),
-            TryOutcome::Misdirected(reason) => (Left::Misdirected, reason),
-            TryOutcome::NotSent(reason) => (Left::NotSent, reason),
-            TryOutcome::Late(reason) => (Left::MayHaveRun, reason),
+            TryOutcome::NotRun(reason) => (SendFailureKind::NotRun, reason),
+            TryOutcome::Misdirected(reason) => (SendFailureKind::Misdirected, reason),
+            TryOutcome::NotSent(reason) => (SendFailureKind::NotSent, reason),
+            TryOutcome::Late(reason) => (SendFailureKind::MayHaveRun, reason),
             TryOutcome::Lost(reason) => {
                 let (endpoint, address) = (choice.endpoint.clone(), choice.address);
                 let broke_at = Instant::now();
                 let send =
                     BrokenSend { endpoint, address, sent_at, broke_at, first_event_at: None };
-                on_broken_send(gateway, job, send).await;
-                (Left::MayHaveRun, reason)
+                check_broken_send(gateway, job, send).await;
+                (SendFailureKind::MayHaveRun, reason)
             }
         };
         gateway.decisions.send_failed(
             job,
-            &SendEnd {
+            &FailedSend {
                 endpoint: &choice.endpoint,
                 at_fault: None,
                 run: job.run.get().state(),
@@ -136,10 +140,10 @@
             },
         );
         tried.push(choice.endpoint);
-        let may_retry = tries.goes_on(gateway, job, left);
+        let may_retry = attempts.may_retry(gateway, job, left);
         if !may_retry {
             let held = held.map(|whole| whole.reply);
-            return held.ok_or_else(|| give_up(job.run.get(), FailureKind::NoChain, &reason));
+            return held.ok_or_else(|| final_failure(job.run.get(), FailureKind::NoChain, &reason));
         }
     }
 }
@@ -153,7 +157,7 @@
 ) -> Failure {
     let kind = KindLabel { kind: refused.reason.name() };
     gateway.metrics.calls_refused.get_or_create(&kind).inc();
-    let failure = give_up(job.run.get(), FailureKind::NoChain, refused.reason.text());
+    let failure = final_failure(job.run.get(), FailureKind::NoChain, refused.reason.text());
     match failure.retry_after {
         Some(_) if refused.reason != CallRefusalReason::NoEndpoint => {
             failure.retry_after(refused.retry_after)
@@ -167,7 +171,7 @@
     /// The whole answer.
     Success(Response<ReplyBody>),
     /// A failure reported by the endpoint itself.
-    Failed(WholeReply),
+    Failed(BufferedReply),
     /// The endpoint proved that it did not run the call.
     NotRun(String),
     /// The endpoint that answered is not the intended one.
@@ -191,7 +195,7 @@
         .endpoint_tracker
         .start(vec![RequestPart { endpoint: choice.endpoint.clone(), kv: 0.0 }], now);
     let exchange = exchange(gateway, job, choice);
-    let may_try_another = job.may_repeat() && choice.has_alternative && job.may_send_again(now);
+    let may_try_another = job.is_idempotent() && choice.has_alternative && job.may_send_again(now);
     if !may_try_another {
         return exchange.await;
     }
@@ -214,11 +218,11 @@
         gateway.call_tracker.start_timer(&job.service.name, &choice.endpoint, Instant::now());
     let sent_at = Instant::now();
     let sent = send(gateway, job, to, None).await;
-    if let Some(evidence) = evidence_of(&sent) {
+    if let Some(evidence) = health_evidence(&sent) {
         gateway.on_evidence(&choice.endpoint, evidence, sent_at, "a call");
     }
     match sent {
-        Sent::Success(reply, channel) => {
+        SendOutcome::Success(reply, channel) => {
             match whole_answer(gateway, choice, reply, channel).await {
                 Ok(whole) => {
                     timer.record_answer();
@@ -227,13 +231,13 @@
                 Err(reason) => TryOutcome::Lost(reason),
             }
         }
-        Sent::Failure(reply, channel) => {
+        SendOutcome::Failure(reply, channel) => {
             match whole_answer(gateway, choice, reply, channel).await {
                 Ok(whole) => TryOutcome::Failed(whole),
                 Err(reason) => TryOutcome::Lost(reason),
             }
         }
-        Sent::NotRun(refusal) => {
+        SendOutcome::NotRun(refusal) => {
             let reason = format!("the endpoint refused with status {}", refusal.status);
             if !refusal.misdirected {
                 timer.record_full();
@@ -244,11 +248,11 @@
             gateway.on_evidence(endpoint, Evidence::Unreachable, sent_at, "misdirected");
             TryOutcome::Misdirected(reason)
         }
-        Sent::NotSent(reason) => {
+        SendOutcome::NotSent(reason) => {
             timer.discard();
             TryOutcome::NotSent(reason)
         }
-        Sent::Lost(reason) => TryOutcome::Lost(reason),
+        SendOutcome::Lost(reason) => TryOutcome::Lost(reason),
     }
 }
 
@@ -257,9 +261,9 @@
     gateway: &Gateway<W, S>,
     choice: &Choice,
     reply: Response<Incoming>,
-    channel: Channel,
-) -> Result<WholeReply, String> {
-    let whole = read_whole(reply, MAX_ANSWER_BYTES, &gateway.kept).await?;
+    channel: PooledConnection,
+) -> Result<BufferedReply, String> {
+    let whole = buffer_reply(reply, MAX_ANSWER_BYTES, &gateway.kept).await?;
     gateway.keep_channel(&choice.endpoint, channel, &whole.head);
     Ok(whole)
 }
@@ -305,8 +309,8 @@
         let candidates: Vec<CallCandidate<'_>> = candidates.collect();
         let ask = CallRequest {
             time_left: job.time_left(now),
-            is_idempotent: job.may_repeat(),
-            rank: job.priority(),
+            is_idempotent: job.is_idempotent(),
+            rank: job.rank(),
         };
         let choice = match settings.mechanisms.calls_in_time {
             true => gateway
--- /dev/null
+++ b/crates/sillbank_gateway/src/connection_pool.rs
@@ -0,0 +1,138 @@
+//! Pool of connections to endpoints.
+
+use hyper::header::{CONNECTION, HeaderMap};
+use sillbank_core::prelude::*;
+use sillbank_net::prelude::*;
+use smol::LocalExecutor;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// Idle time of a connection if the endpoint names none; below the idle timeouts of common HTTP
+/// servers.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(8);
+/// Time before the endpoint's idle timeout at which a connection is no longer used, so that a
+/// request does not cross its closing.
+const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
+/// Timeout of opening a connection. Halls are a fraction of a millisecond apart, and a lost first
+/// packet is retransmitted after a second.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum idle connections per endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 64;
+
+/// A connection to one endpoint that carries one request at a time.
+#[derive(Debug)]
+pub struct PooledConnection {
+    /// The connection.
+    pub inner: Connection,
+    /// Whether it has carried a request before.
+    pub reused: bool,
+    /// Address it is connected to.
+    pub address: SocketAddr,
+    /// When it was opened.
+    pub opened_at: Instant,
+    idle_until: Instant,
+}
+
+/// Idle connections, by endpoint.
+#[derive(Debug)]
+pub struct ConnectionPool {
+    executor: Rc<LocalExecutor<'static>>,
+    idle: RefCell<HashMap<EndpointId, Vec<PooledConnection>>>,
+}
+
+impl ConnectionPool {
+    /// Creates an empty pool.
+    pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
+        Self { executor, idle: RefCell::default() }
+    }
+
+    /// Takes the most recently used connection to an endpoint that is still usable. An endpoint
+    /// that restarts may have another address; connections to the previous address are closed.
+    pub fn take(
+        &self,
+        endpoint: &str,
+        address: SocketAddr,
+        now: Instant,
+    ) -> Option<PooledConnection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(endpoint)?;
+        while let Some(connection) = connections.pop() {
+            if connection.address == address && is_usable(&connection, now) {
+                return Some(connection);
+            }
+        }
+        None
+    }
+
+    /// Opens a new connection.
+    ///
+    /// # Errors
+    /// The connection error, or `TimedOut` after [`CONNECT_TIMEOUT`].
+    pub async fn open(&self, address: SocketAddr) -> std::io::Result<PooledConnection> {
+        let timeout = async {
+            smol::Timer::after(CONNECT_TIMEOUT).await;
+            Err(std::io::Error::from(std::io::ErrorKind::TimedOut))
+        };
+        let open = Connection::open(&self.executor, address);
+        let inner = futures_lite::future::or(open, timeout).await?;
+        let now = Instant::now();
+        Ok(PooledConnection { inner, reused: false, address, opened_at: now, idle_until: now })
+    }
+
+    /// Returns a connection to the pool after a complete reply, unless the reply's head closes it.
+    pub fn put_back(
+        &self,
+        endpoint: &str,
+        mut connection: PooledConnection,
+        reply: &HeaderMap,
+        now: Instant,
+    ) {
+        let Some(idle_time) = idle_time(reply) else {
+            return;
+        };
+        connection.idle_until = now + idle_time;
+        connection.reused = true;
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(endpoint.to_owned()).or_default();
+        if connections.len() < MAX_IDLE_PER_ENDPOINT && !connection.inner.sender.is_closed() {
+            connections.push(connection);
+        }
+    }
+
+    /// Closes connections whose idle time is over or that the endpoint closed.
+    pub fn sweep(&self, now: Instant) {
+        let mut idle = self.idle.borrow_mut();
+        for connections in idle.values_mut() {
+            connections.retain(|connection| is_usable(connection, now));
+        }
+        idle.retain(|_, connections| !connections.is_empty());
+    }
+
+    /// Closes all idle connections to an endpoint.
+    pub fn close_idle(&self, endpoint: &str) {
+        self.idle.borrow_mut().remove(endpoint);
+    }
+}
+
+fn is_usable(connection: &PooledConnection, now: Instant) -> bool {
+    now < connection.idle_until && connection.inner.sender.is_ready()
+}
+
+/// How long a connection may stay idle after a reply; `None` if the reply closes it.
+fn idle_time(reply: &HeaderMap) -> Option<Duration> {
+    let has_close = |value: &hyper::header::HeaderValue| {
+        value.to_str().is_ok_and(|text| text.to_ascii_lowercase().contains("close"))
+    };
+    if reply.get_all(CONNECTION).iter().any(has_close) {
+        return None;
+    }
+    let stated = reply.get("keep-alive").and_then(|value| value.to_str().ok()).and_then(|text| {
+        let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+        seconds.trim().parse().ok().map(Duration::from_secs)
+    });
+    let idle_time = stated.unwrap_or(DEFAULT_IDLE_TIME).checked_sub(IDLE_MARGIN)?;
+    (!idle_time.is_zero()).then_some(idle_time)
+}
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -109,7 +109,8 @@
     /// Counts a request on arrival.
     pub fn count_offered(&self, job: &Job) {
         let mut retry_detector = self.demand.retry_detector.borrow_mut();
-        let is_retry = retry_detector.is_retry(job.began, &job.route.name, job.head.time_left);
+        let is_retry =
+            retry_detector.is_retry(job.received_at, &job.route.name, job.head.time_left);
         let event = if is_retry { DemandEvent::Retried } else { DemandEvent::Offered };
         self.count_demand(job, event);
     }
@@ -119,8 +120,7 @@
     pub fn on_admitted(&self, job: &Job) {
         let now = Instant::now();
         self.load.on_sent(&job.service.name, true, now);
-        let record =
-            |scheduler: &mut RetryScheduler| scheduler.record_admitted(now, job.priority());
+        let record = |scheduler: &mut RetryScheduler| scheduler.record_admitted(now, job.rank());
         self.demand.with_scheduler(&job.service.name, now, record);
         self.count_once(job, DemandEvent::Admitted);
     }
@@ -139,11 +139,8 @@
     /// When the caller of a request that is refused for lack of room should retry.
     pub fn retry_after(&self, job: &Job) -> Duration {
         let now = Instant::now();
-        let refusal = RefusedRequest {
-            rank: job.priority(),
-            time_left: job.time_left(now),
-            caller: job.caller,
-        };
+        let refusal =
+            RefusedRequest { rank: job.rank(), time_left: job.time_left(now), caller: job.caller };
         self.retry_after_for(&job.service.name, refusal, now)
     }
 
@@ -239,7 +236,7 @@
     }
 
     fn count_demand(&self, job: &Job, event: DemandEvent) {
-        let (service, rank) = (&job.service.name, clamp_rank(job.priority()));
+        let (service, rank) = (&job.service.name, clamp_rank(job.rank()));
         if !self.demand.counter.borrow_mut().count(Instant::now(), service, rank, event) {
             return;
         }
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -1,12 +1,12 @@
 //! State that all tasks of a gateway share.
 
 use crate::call_tracker::CallTracker;
-use crate::channels::ChannelPool;
+use crate::connection_pool::ConnectionPool;
 use crate::counted_store::CountedStore;
-use crate::decisions::{Decisions, Outcome};
+use crate::crashes::CrashedEndpoints;
+use crate::decisions::{DecisionLog, Outcome};
 use crate::demand::DemandTracker;
 use crate::endpoints::{EndpointTracker, Evidence};
-use crate::ends::EndedEndpoints;
 use crate::feed::Incarnation;
 use crate::forecasts::Forecasts;
 use crate::freshness::Freshness;
@@ -20,9 +20,9 @@
 use crate::revision::Revision;
 use crate::settings::GatewaySettings;
 use crate::store::StoreError;
-use crate::streams::HeardStreams;
+use crate::streams::StreamActivity;
 use crate::unreadable::UnreadableEntries;
-use crate::vm_limits::{LimitMeter, Standing};
+use crate::vm_limits::{LimitMeter, LimitState};
 use crate::wire::Wire;
 use sillbank_admission::budget::RetryBudget;
 use sillbank_catalog::prelude::*;
@@ -72,7 +72,7 @@
     /// Health of endpoints and work in flight, as this VM observes them.
     pub endpoint_tracker: Rc<EndpointTracker>,
     /// Endpoints that ended while they ran a request.
-    pub ends: EndedEndpoints,
+    pub crashed_endpoints: CrashedEndpoints,
     /// Rate limits and pauses that endpoints asked for in their answers.
     pub pushback: RefCell<PushbackTracker>,
     /// Rate leases that this VM grants while it leads.
@@ -89,17 +89,17 @@
     /// Corrections learnt for stream forecasts.
     pub forecasts: Forecasts,
     /// Streams in progress with the time of their last event.
-    pub heard: Rc<HeardStreams>,
+    pub stream_activity: Rc<StreamActivity>,
     /// Load shedding by service.
     pub load: FleetLoad,
     /// Demand on this VM and its hall.
     pub demand: DemandTracker,
     /// Connections to endpoints.
-    pub channels: ChannelPool,
+    pub connection_pool: ConnectionPool,
     /// HTTP client for reports and orders of engines.
     pub engine_calls: HttpClient,
     /// Writes the decision log.
-    pub decisions: Decisions,
+    pub decisions: DecisionLog,
     /// Metrics.
     pub metrics: Metrics,
     /// Bytes buffered for callers and endpoints.
@@ -137,14 +137,14 @@
         let (incarnation, began) = (chance.number(), Instant::now());
         Self {
             platform: PlatformView::new(settings.key_revocation),
-            kept: KeptBytes::new(settings.kept_bound_bytes()),
+            kept: KeptBytes::new(settings.buffer_limit_bytes()),
             settings: RefCell::new(Rc::new(settings)),
             store: CountedStore::new(store, metrics.store_calls.clone()),
             unreadable: UnreadableEntries::default(),
             limits: RefCell::default(),
             hall: Hall::new(chance.clone()),
             endpoint_tracker: Rc::default(),
-            ends: EndedEndpoints::default(),
+            crashed_endpoints: CrashedEndpoints::default(),
             pushback: RefCell::default(),
             rate_leases: RateLeases::default(),
             quarantine: RefCell::default(),
@@ -152,12 +152,12 @@
             quarantine_announced: Cell::new(0),
             call_tracker: CallTracker::default(),
             forecasts: Forecasts::default(),
-            heard: Rc::default(),
+            stream_activity: Rc::default(),
             load: FleetLoad::default(),
             demand: DemandTracker::new(incarnation, began),
-            channels: ChannelPool::new(executor.clone()),
+            connection_pool: ConnectionPool::new(executor.clone()),
             engine_calls,
-            decisions: Decisions::default(),
+            decisions: DecisionLog::default(),
             metrics,
             executor,
             lifecycle: Cell::new(LifecycleState::Serving),
@@ -204,10 +204,10 @@
     }
 
     /// How near this VM is to its limits; always `Clear` when the mechanism is off.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> LimitState {
         match self.settings.borrow().mechanisms.vm_limits {
-            true => self.limits.borrow().standing(),
-            false => Standing::Clear,
+            true => self.limits.borrow().state(),
+            false => LimitState::Clear,
         }
     }
 
@@ -216,7 +216,7 @@
     pub fn leader_score(&self) -> LeaderScore {
         let settings = self.settings.borrow();
         match self.lifecycle.get() {
-            LifecycleState::Serving if self.standing() != Standing::Clear => 0.0,
+            LifecycleState::Serving if self.standing() != LimitState::Clear => 0.0,
             LifecycleState::Serving => settings.processors * settings.link_mbps,
             LifecycleState::Draining | LifecycleState::Stopping => 0.0,
         }
@@ -244,7 +244,7 @@
             && self.platform.is_fresh(now)
             && self.platform.knows_endpoints()
             && self.knows_quarantine(now)
-            && (self.standing() == Standing::Clear || !self.hall.others_suffice(now))
+            && (self.standing() == LimitState::Clear || !self.hall.others_suffice(now))
     }
 
     /// Applies a configuration read at revision `at`, unless a newer one is in force.
@@ -253,7 +253,7 @@
         let is_taken = self.platform.offer_catalog(catalog, parts);
         self.decisions.catalog_read(Some(version), at, is_taken);
         if is_taken {
-            self.decisions.figures_unusable(&services);
+            self.decisions.warn_invalid_figures(&services);
         }
     }
 
@@ -282,7 +282,7 @@
 
     /// Records an endpoint entry that cannot be parsed.
     pub fn on_unreadable(&self, entry: &UnreadableEntry) {
-        if self.unreadable.note(entry) {
+        if self.unreadable.record(entry) {
             self.metrics.unreadable.get_or_create(&KindLabel { kind: "entry" }).inc();
         }
     }
@@ -294,7 +294,7 @@
             self.unreadable.forget(id);
             self.decisions.endpoint_removed(id, *removal, stamp);
             if *removal == Removal::Gone {
-                self.channels.forget(id);
+                self.connection_pool.close_idle(id);
             }
         }
     }
@@ -344,7 +344,7 @@
         }
         match self.endpoint_tracker.is_ejected(endpoint) {
             true => {
-                self.channels.forget(endpoint);
+                self.connection_pool.close_idle(endpoint);
                 tracing::warn!(endpoint, reason, "endpoint: Left alone.");
             }
             false => tracing::info!(endpoint, reason, "endpoint: Used again."),
@@ -357,7 +357,10 @@
         self.metrics.requests.get_or_create(&label).inc();
         self.count_end(job, outcome);
         let kind = KindLabel { kind: work_name(job) };
-        self.metrics.whole_answer_s.get_or_create(&kind).observe(job.began.elapsed().as_secs_f64());
+        self.metrics
+            .whole_answer_s
+            .get_or_create(&kind)
+            .observe(job.received_at.elapsed().as_secs_f64());
         if outcome == Outcome::Answered {
             self.forecasts.on_answered(job, self.settings.borrow().mechanisms, &self.metrics);
         }
@@ -367,7 +370,10 @@
     /// Records the time to the first part of an answer.
     pub fn on_first_answer(&self, job: &Job) {
         let kind = KindLabel { kind: work_name(job) };
-        self.metrics.first_answer_s.get_or_create(&kind).observe(job.began.elapsed().as_secs_f64());
+        self.metrics
+            .first_answer_s
+            .get_or_create(&kind)
+            .observe(job.received_at.elapsed().as_secs_f64());
     }
 }
 
--- a/crates/sillbank_gateway/src/lib.rs
+++ b/crates/sillbank_gateway/src/lib.rs
@@ -8,15 +8,15 @@
 //! - [`platform_view`] holds this VM's view of the platform, [`follow`] keeps it up to date.
 //! - [`restarts`] discards what is kept of endpoints that restart, [`unreadable`] logs entries of
 //!   endpoints that cannot be parsed.
-//! - [`endpoints`] tracks the health of endpoints, [`doctor`] probes them; [`paths`] chooses among
+//! - [`endpoints`] tracks the health of endpoints, [`probes`] checks them; [`paths`] chooses among
 //!   engines by the model of `sillbank_engines`.
-//! - [`ends`] distinguishes an endpoint that crashed during a request from a broken connection.
+//! - [`crashes`] distinguishes an endpoint that crashed during a request from a broken connection.
 //! - [`quarantine`] refuses requests that crash their endpoints, [`quarantine_store`] keeps them in
 //!   the store.
 //! - [`pushback`] applies the limits and pauses that endpoints ask for, [`rate_leases`] divides
 //!   limits among VMs.
 //! - [`revision`] orders states of the store, also across restores from a backup.
-//! - [`repeats`] decides whether a request may be sent again.
+//! - [`retry_budget`] decides whether a request may be sent again.
 //! - [`load`] sheds requests by priority when not all fit.
 //! - [`feed`] exchanges updates between VMs, [`hall`] tracks the leader and its followers,
 //!   [`hall_reports`] holds what leaders report of engines, [`freshness`] bounds how stale that may
@@ -34,14 +34,13 @@
 pub mod call_tracker;
 pub mod callers;
 pub mod calls;
-pub mod channels;
+pub mod connection_pool;
 pub mod counted_store;
+pub mod crashes;
 pub mod decisions;
 pub mod delivery;
 pub mod demand;
-pub mod doctor;
 pub mod endpoints;
-pub mod ends;
 pub mod events;
 pub mod feed;
 pub mod follow;
@@ -51,29 +50,30 @@
 pub mod hall;
 pub mod hall_reports;
 pub mod job;
-pub mod ladder_metrics;
 pub mod lifecycle;
 pub mod load;
 pub mod mechanisms;
 pub mod metrics;
-pub mod operate;
+pub mod ops;
 pub mod paths;
 pub mod placement;
 pub mod platform_view;
 pub mod plugins;
+pub mod probes;
 pub mod pushback;
 pub mod quarantine;
 pub mod quarantine_store;
 pub mod rate_leases;
-pub mod repeats;
 pub mod restarts;
+pub mod retries;
+pub mod retry_budget;
 pub mod revision;
 pub mod sending;
 pub mod settings;
+pub mod shedding_metrics;
 pub mod sources;
 pub mod store;
 pub mod streams;
-pub mod tries;
 pub mod unreadable;
 pub mod vm_limits;
 pub mod wire;
@@ -86,7 +86,8 @@
     pub use crate::settings::GatewaySettings;
     pub use crate::store::{CatalogRead, MetadataStore, QuarantineObject, Snapshot, StoreError};
     pub use crate::wire::{
-        BadHead, CallerHead, EndpointReply, EngineReport, GiveUp, OrderEnd, PlaceOrder, Refusal,
-        ReplyPlace, Sending, StalledRequest, TokenCounts, Unreadable, Wire,
+        CallerHead, EndpointReply, EngineReport, HeaderError, OrderOutcome, PlacementOrder,
+        Refusal, ReleaseMode, ReplyPosition, SendContext, StalledRequest, TokenCounts,
+        UnreadableReply, Wire,
     };
 }
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -9,27 +9,27 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a stopping VM still takes new requests: the balancer asks once a second and takes a VM
-/// out after two answers without success.
+/// How long a stopping VM still accepts requests: the balancer checks readiness once a second and
+/// removes a VM after two failed checks.
 const BALANCER_LAG: Duration = Duration::from_millis(2_900);
-/// How often a stopping VM looks whether all requests have ended.
-const STOP_POLL: Duration = Duration::from_millis(50);
-/// Time before the kill at which a stopping VM ends, whatever is in progress.
+/// How often a stopping VM checks whether all requests have ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time before the kill at which a stopping VM exits, whatever is still in progress.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
-/// How often the settings file is looked at without a signal.
-const RELOAD_POLL: Duration = Duration::from_secs(3);
-/// How often resting connections, lapsed entries and forgotten endpoints are swept; sooner when the grace of a lapsed entry
-/// ends.
-const SWEEP: Duration = Duration::from_millis(500);
+/// How often the settings file is checked for changes without a signal.
+const RELOAD_POLL_INTERVAL: Duration = Duration::from_secs(3);
+/// How often idle connections, lapsed entries and removed endpoints are swept; sooner when a lapsed
+/// entry is due.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Waits for the signal to stop, then until all requests have ended or the grace is over.
+/// Waits for the stop signal, then until all requests have ended or the grace period is over.
 pub async fn stop<W: Wire, S: MetadataStore>(
     gateway: Rc<Gateway<W, S>>,
     mut signals: Signals,
     stopper: Stopper,
 ) {
     signals.next().await;
-    let asked = Instant::now();
+    let stop_began = Instant::now();
     let grace = gateway.settings().stop_grace.saturating_sub(STOP_MARGIN);
     tracing::info!(
         in_progress = gateway.in_progress.get(),
@@ -40,17 +40,17 @@
     stopper.stop();
     smol::Timer::after(BALANCER_LAG.min(grace)).await;
     gateway.lifecycle.set(LifecycleState::Stopping);
-    while asked.elapsed() < grace && gateway.in_progress.get() > 0 {
-        smol::Timer::after(STOP_POLL).await;
+    while stop_began.elapsed() < grace && gateway.in_progress.get() > 0 {
+        smol::Timer::after(STOP_POLL_INTERVAL).await;
     }
     tracing::info!(
         in_progress = gateway.in_progress.get(),
-        after_ms = asked.elapsed().as_millis() as u64,
+        after_ms = stop_began.elapsed().as_millis() as u64,
         "program: Stopped."
     );
 }
 
-/// Reads the settings again whenever a signal says so, and now and then without one.
+/// Reads the settings again on each signal, and when the file has changed.
 pub async fn reload<W: Wire, S: MetadataStore>(
     gateway: Rc<Gateway<W, S>>,
     mut signals: Signals,
@@ -59,7 +59,7 @@
     let mut text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(error) => {
-            tracing::warn!(%error, "program: The settings cannot be read again yet.");
+            tracing::warn!(%error, "program: The settings file cannot be read.");
             String::new()
         }
     };
@@ -69,61 +69,67 @@
             true
         };
         let by_time = async {
-            smol::Timer::after(RELOAD_POLL).await;
+            smol::Timer::after(RELOAD_POLL_INTERVAL).await;
             false
         };
         let signalled = futures_lite::future::or(by_signal, by_time).await;
-        let now = match std::fs::read_to_string(&path) {
-            Ok(now) => now,
+        let new_text = match std::fs::read_to_string(&path) {
+            Ok(new_text) => new_text,
             Err(error) => {
-                tracing::warn!(%error, "program: The settings cannot be read; they stay.");
+                tracing::warn!(
+                    %error,
+                    "program: The settings file cannot be read; the settings in force stay."
+                );
                 continue;
             }
         };
-        if now == text && !signalled {
+        if new_text == text && !signalled {
             continue;
         }
-        let changed = now != text;
-        match settings::read_text(&path.display().to_string(), &now) {
+        let changed = new_text != text;
+        match settings::read_text(&path.display().to_string(), &new_text) {
             Ok(settings) => {
                 apply(&gateway, settings);
-                text = now;
+                text = new_text;
                 tracing::info!(signalled, changed, "program: Reloaded.");
             }
             Err(problems) => {
-                tracing::error!(%problems, "program: The settings are faulty; they stay.");
+                tracing::error!(
+                    %problems,
+                    "program: The settings are faulty; the settings in force stay."
+                );
             }
         }
     }
 }
 
-/// Takes what can change while the program runs. Addresses and names need a new start.
+/// Applies settings that can change at run time. Addresses and names need a restart.
 fn apply<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, new: GatewaySettings) {
     let old = gateway.settings();
     let fixed = (&old.vm, &old.hall, old.callers_listen, old.ready_listen, old.store);
     if fixed != (&new.vm, &new.hall, new.callers_listen, new.ready_listen, new.store) {
-        tracing::warn!("program: Names and addresses change only with a new start.");
+        tracing::warn!("program: Names and addresses change only on restart.");
     }
     gateway.platform.set_key_revocation(new.key_revocation);
-    gateway.kept.set_bound(new.kept_bound_bytes());
+    gateway.kept.set_bound(new.buffer_limit_bytes());
     *gateway.settings.borrow_mut() = Rc::new(new);
 }
 
-/// Sweeps what time alone ends.
+/// Removes what has expired.
 pub async fn sweep<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
-        let next = Instant::now() + SWEEP;
+        let next = Instant::now() + SWEEP_INTERVAL;
         let lapse_end = gateway.platform.next_eviction();
         smol::Timer::at(lapse_end.map_or(next, |end| end.min(next))).await;
         let now = Instant::now();
-        gateway.channels.sweep(now);
+        gateway.connection_pool.sweep(now);
         for id in gateway.platform.on_time(now) {
-            tracing::info!(endpoint = id, "endpoint: Did not come back after the outage.");
-            gateway.channels.forget(&id);
+            tracing::info!(endpoint = id, "endpoint: Not listed again after the outage; evicted.");
+            gateway.connection_pool.close_idle(&id);
         }
         gateway.platform.endpoints(|directory| {
             gateway.endpoint_tracker.retain(|id| directory.get(id).is_some());
-            gateway.ends.retain(|id| directory.get(id).is_some());
+            gateway.crashed_endpoints.retain(|id| directory.get(id).is_some());
             gateway.call_tracker.retain(|id| directory.get(id).is_some());
             gateway.hall.reports.retain(|id| directory.get(id).is_some());
         });
--- a/crates/sillbank_gateway/src/placement/targets.rs
+++ b/crates/sillbank_gateway/src/placement/targets.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure functions without I/O or clocks.
 
-use crate::wire::GiveUp;
+use crate::wire::ReleaseMode;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -64,7 +64,7 @@
     /// Layers of an order that may still be carried out.
     pub ordered: Option<LayerRange>,
     /// Whether it reports that it is carrying out an order.
-    pub order_under_way: bool,
+    pub order_in_progress: bool,
 }
 
 /// Layers that an engine should hold.
@@ -75,7 +75,7 @@
     /// Layers.
     pub layers: LayerRange,
     /// When it releases the layers outside this range.
-    pub give_up: GiveUp,
+    pub release_mode: ReleaseMode,
 }
 
 /// Chain number of each engine of a service.
@@ -94,15 +94,16 @@
         false => group_into_chains(engines, figures, chains),
     };
     if assigned.len() > 1 || !in_pairs {
-        return chain_targets(&assigned, figures, GiveUp::AtOnce);
+        return chain_targets(&assigned, figures, ReleaseMode::AtOnce);
     }
     let members: Vec<PairMember> =
         engines.iter().filter_map(|engine| pair_member(engine, figures)).collect();
     let Some(placed) = place_in_pairs(&members, figures.layers) else {
-        return chain_targets(&assigned, figures, GiveUp::AtOnce);
+        return chain_targets(&assigned, figures, ReleaseMode::AtOnce);
     };
-    let give_up = GiveUp::AtOnce;
-    let targets = placed.into_iter().map(|(endpoint, layers)| Target { endpoint, layers, give_up });
+    let release_mode = ReleaseMode::AtOnce;
+    let targets =
+        placed.into_iter().map(|(endpoint, layers)| Target { endpoint, layers, release_mode });
     Some(targets.collect())
 }
 
@@ -125,7 +126,7 @@
         let targets = moves.into_iter().map(|moved| Target {
             endpoint: moved.endpoint,
             layers: moved.layers,
-            give_up: GiveUp::WhenUnused,
+            release_mode: ReleaseMode::WhenUnused,
         });
         return Some(targets.collect());
     }
@@ -134,14 +135,14 @@
         return Some(Vec::new());
     }
     let assigned = group_into_chains(engines, figures, chains);
-    chain_targets(&assigned, figures, GiveUp::WhenUnused)
+    chain_targets(&assigned, figures, ReleaseMode::WhenUnused)
 }
 
 /// Plans each chain on its own; `None` if none of them fits.
 fn chain_targets(
     chains: &[Vec<&EngineView>],
     figures: &EngineFigures,
-    give_up: GiveUp,
+    release_mode: ReleaseMode,
 ) -> Option<Vec<Target>> {
     let plans: Vec<Vec<Assignment>> =
         chains.iter().filter_map(|chain| plan_chain(chain, figures)).collect();
@@ -151,7 +152,7 @@
     let targets = plans.into_iter().flatten().map(|assignment| Target {
         endpoint: assignment.endpoint,
         layers: assignment.holds,
-        give_up,
+        release_mode,
     });
     Some(targets.collect())
 }
@@ -262,7 +263,7 @@
         pace: kind.step_factor,
         request_capacities: rooms(&shape, usual),
         held: engine.ordered.or(engine.serves),
-        is_busy: engine.order_under_way || is_changing,
+        is_busy: engine.order_in_progress || is_changing,
     })
 }
 
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -5,8 +5,8 @@
 //! each reply. The store keeps entries that are one crash short of quarantine, so that they outlast
 //! all VMs and pass between halls that do not reach each other.
 
+use crate::crashes::BrokenSend;
 use crate::decisions::describe_fingerprint;
-use crate::ends::BrokenSend;
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::store::MetadataStore;
@@ -24,7 +24,7 @@
     /// that had just started there.
     pub fn on_endpoint_crash(&self, job: &Job, send: &BrokenSend) {
         let is_beginning = send.ran_for().is_none_or(|ran| ran < SUSPICION_WINDOW);
-        self.decisions.ended_under(job, send, is_beginning);
+        self.decisions.endpoint_crashed(job, send, is_beginning);
         if !is_beginning {
             return;
         }
--- a/crates/sillbank_gateway/src/restarts.rs
+++ b/crates/sillbank_gateway/src/restarts.rs
@@ -4,7 +4,7 @@
 //! reports. Everything else kept of an endpoint is discarded here when it restarts. Exchanges begun
 //! before end by themselves, and their outcome says nothing about the new incarnation.
 
-use crate::channels::Channel;
+use crate::connection_pool::PooledConnection;
 use crate::feed::HallReport;
 use crate::gateway::Gateway;
 use crate::wire::Wire;
@@ -38,8 +38,8 @@
             let newest_incarnation =
                 self.platform.endpoints(|directory| directory.newest_incarnation(&id));
             self.endpoint_tracker.on_restart(&id, now);
-            self.channels.forget(&id);
-            self.heard.on_new_life(&id);
+            self.connection_pool.close_idle(&id);
+            self.stream_activity.on_restart(&id);
             self.pushback.borrow_mut().on_restart(&id);
             self.call_tracker.retain(|known| known != id);
             self.hall.reports.on_restart(&id, newest_incarnation);
@@ -50,9 +50,9 @@
 
     /// Returns a connection to the pool after a whole answer, unless the endpoint has restarted
     /// since it was opened.
-    pub fn keep_channel(&self, endpoint: &str, channel: Channel, reply: &HeaderMap) {
+    pub fn keep_channel(&self, endpoint: &str, channel: PooledConnection, reply: &HeaderMap) {
         if !self.endpoint_tracker.restarted_since(endpoint, channel.opened_at) {
-            self.channels.give_back(endpoint, channel, reply, Instant::now());
+            self.connection_pool.put_back(endpoint, channel, reply, Instant::now());
         }
     }
 }
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -1,13 +1,13 @@
-//! One sending of a request to an endpoint, up to the head of its reply.
+//! Sends a request to an endpoint once and waits for the head of the reply.
 
-use crate::answers::is_promise;
-use crate::channels::Channel;
+use crate::answers::guarantees_not_run;
+use crate::connection_pool::PooledConnection;
 use crate::endpoints::Evidence;
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::metrics::KindLabel;
 use crate::store::MetadataStore;
-use crate::wire::{EndpointReply, Refusal, ReplyPlace, Wire};
+use crate::wire::{EndpointReply, Refusal, ReplyPosition, Wire};
 use bytes::BytesMut;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Response;
@@ -22,181 +22,183 @@
 /// Where a request is sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Destination<'a> {
-    /// Endpoint.
+    /// Endpoint, or the first one of a path.
     pub endpoint: &'a str,
     /// Its address.
     pub address: SocketAddr,
-    /// Path, if it runs a part of a model.
+    /// Path, if the endpoint runs a part of a model.
     pub path: Option<&'a LayerPath>,
 }
 
-/// What came of a sending.
+/// Result of a send.
 #[derive(Debug)]
-pub enum Sent {
-    /// The endpoint ran it and succeeded; the body is to come.
-    Success(Response<Incoming>, Channel),
-    /// The endpoint failed; the body is to come.
-    Failure(Response<Incoming>, Channel),
-    /// The endpoint did not run it and said so.
+pub enum SendOutcome {
+    /// The endpoint ran the request and succeeded; the body is still to be read.
+    Success(Response<Incoming>, PooledConnection),
+    /// The endpoint failed; the body is still to be read.
+    Failure(Response<Incoming>, PooledConnection),
+    /// The endpoint proved that it did not run the request.
     NotRun(Refusal),
-    /// No byte of it left.
+    /// No byte of the request was sent; holds the reason.
     NotSent(String),
-    /// It may have run; no answer that belongs to it came.
+    /// The request may have run, but no reply to it arrived; holds the reason.
     Lost(String),
 }
 
-/// Sends a request and waits for the head of the reply. The work's log is kept up to date, also if
-/// this is dropped before its end.
+/// Sends a request and waits for the head of the reply. The request's run log is up to date even if
+/// the future is dropped before it completes.
 pub async fn send<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
     to: Destination<'_>,
     resume_after: Option<u64>,
-) -> Sent {
+) -> SendOutcome {
     loop {
-        let channel = match gateway.channels.take(to.endpoint, to.address, Instant::now()) {
-            Some(channel) => channel,
-            None => match gateway.channels.open(to.address).await {
-                Ok(channel) => channel,
-                Err(error) => return Sent::NotSent(format!("no connection: {error}")),
+        let connection = match gateway.connection_pool.take(to.endpoint, to.address, Instant::now())
+        {
+            Some(connection) => connection,
+            None => match gateway.connection_pool.open(to.address).await {
+                Ok(connection) => connection,
+                Err(error) => return SendOutcome::NotSent(format!("no connection: {error}")),
             },
         };
-        let was_reused = channel.reused;
-        let kind = KindLabel { kind: if was_reused { "reused" } else { "new" } };
+        let is_reused = connection.reused;
+        let kind = KindLabel { kind: if is_reused { "reused" } else { "new" } };
         gateway.metrics.connections.get_or_create(&kind).inc();
-        match exchange(gateway, job, to, resume_after, channel).await {
-            // The endpoint had closed a connection that rested: nothing of the request left.
-            Sent::NotSent(_) if was_reused => {}
+        match exchange(gateway, job, to, resume_after, connection).await {
+            // The endpoint had closed the idle connection, so nothing of the request was sent.
+            SendOutcome::NotSent(_) if is_reused => {}
             sent => return sent,
         }
     }
 }
 
+/// Sends a request over a connection and waits for the head of the reply.
 async fn exchange<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
     to: Destination<'_>,
     resume_after: Option<u64>,
-    mut channel: Channel,
-) -> Sent {
+    mut connection: PooledConnection,
+) -> SendOutcome {
     let sent_at = Instant::now();
     let request = job.request_for::<W>(to.endpoint, to.path, resume_after, sent_at);
-    job.note_run(RunLog::sent);
-    let reply = match channel.connection.sender.try_send_request(request).await {
+    job.update_run(RunLog::sent);
+    let reply = match connection.inner.sender.try_send_request(request).await {
         Ok(reply) => reply,
         Err(mut error) => {
             let reason = error.error().to_string();
             return match error.take_message() {
                 Some(_) => {
-                    job.note_run(RunLog::refused);
-                    Sent::NotSent(reason)
+                    job.update_run(RunLog::refused);
+                    SendOutcome::NotSent(reason)
                 }
-                None => Sent::Lost(reason),
+                None => SendOutcome::Lost(reason),
             };
         }
     };
-    let place = match channel.reused {
-        true => ReplyPlace::AfterOthers,
-        false => ReplyPlace::First,
+    let position = match connection.reused {
+        true => ReplyPosition::AfterOthers,
+        false => ReplyPosition::First,
     };
-    let read = W::read_reply(reply.status(), reply.headers(), &job.head.request_id, place);
-    if read != EndpointReply::Foreign {
+    let parsed = W::read_reply(reply.status(), reply.headers(), &job.head.request_id, position);
+    if parsed != EndpointReply::Unmatched {
         let pushback = W::read_pushback(reply.status(), reply.headers());
         gateway.on_pushback(to.endpoint, pushback, sent_at);
     }
-    match read {
+    match parsed {
         EndpointReply::Success => {
-            job.note_run(RunLog::ran);
-            Sent::Success(reply, channel)
+            job.update_run(RunLog::ran);
+            SendOutcome::Success(reply, connection)
         }
-        EndpointReply::Failure if is_promise(reply.status().as_u16()) => Sent::Lost(format!(
-            "status {} without a proof that it was not run",
-            reply.status().as_u16()
-        )),
+        EndpointReply::Failure if guarantees_not_run(reply.status().as_u16()) => SendOutcome::Lost(
+            format!("status {} without a proof that it was not run", reply.status().as_u16()),
+        ),
         EndpointReply::Failure => {
-            job.note_run(RunLog::ran);
-            Sent::Failure(reply, channel)
+            job.update_run(RunLog::ran);
+            SendOutcome::Failure(reply, connection)
         }
         EndpointReply::NotRun(refusal) => {
-            job.note_run(RunLog::refused);
+            job.update_run(RunLog::refused);
             let endpoint = to.endpoint.to_owned();
-            keep_after_refusal(gateway, endpoint, reply, channel).await;
-            Sent::NotRun(refusal)
+            drain_refusal(gateway, endpoint, reply, connection).await;
+            SendOutcome::NotRun(refusal)
         }
-        EndpointReply::Foreign => Sent::Lost(format!(
+        EndpointReply::Unmatched => SendOutcome::Lost(format!(
             "a reply with status {} that does not belong to the request",
             reply.status().as_u16()
         )),
     }
 }
 
-/// Longest body of a refusal that is read so that its connection can be kept.
+/// Maximum body size of a refusal that is read to keep its connection.
 const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
-async fn keep_after_refusal<W: Wire, S: MetadataStore>(
+/// Reads the body of a refusal and returns the connection to the pool.
+async fn drain_refusal<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     endpoint: String,
     reply: Response<Incoming>,
-    channel: Channel,
+    connection: PooledConnection,
 ) {
     let (head, body) = reply.into_parts();
     if Limited::new(body, MAX_REFUSAL_BYTES).collect().await.is_ok() {
-        gateway.keep_channel(&endpoint, channel, &head.headers);
+        gateway.keep_channel(&endpoint, connection, &head.headers);
     }
 }
 
-/// What a sending without success tells of the endpoint's health.
-pub fn evidence_of(sent: &Sent) -> Option<Evidence> {
+/// What the result of a send says about the endpoint's health.
+pub fn health_evidence(sent: &SendOutcome) -> Option<Evidence> {
     match sent {
-        Sent::Success(..) => Some(Evidence::Good),
-        // An answer that was lost says little of the endpoint: it may lose some and run all.
-        Sent::Failure(..) | Sent::Lost(_) => Some(Evidence::Failed),
-        Sent::NotSent(_) => Some(Evidence::Unreachable),
-        // Being full is no fault.
-        Sent::NotRun(_) => None,
+        SendOutcome::Success(..) => Some(Evidence::Good),
+        // A lost reply is weak evidence: the endpoint may lose replies and still run every request.
+        SendOutcome::Failure(..) | SendOutcome::Lost(_) => Some(Evidence::Failed),
+        SendOutcome::NotSent(_) => Some(Evidence::Unreachable),
+        // A full endpoint is healthy.
+        SendOutcome::NotRun(_) => None,
     }
 }
 
-/// A whole reply.
+/// A reply that was read completely.
 #[derive(Debug)]
-pub struct WholeReply {
-    /// Ready for the caller.
+pub struct BufferedReply {
+    /// The reply, ready to be sent to the caller.
     pub reply: Response<ReplyBody>,
-    /// Its head as it came, which says whether the connection stands.
+    /// The head as received; it says whether the connection stays open.
     pub head: HeaderMap,
-    /// What it takes of the VM's memory until it goes to the caller.
-    pub kept: KeptShare,
+    /// Memory budget taken by the body until it is sent to the caller.
+    pub memory: KeptShare,
 }
 
-/// Reads a reply of up to `limit_bytes` whole.
+/// Reads a complete reply of up to `limit_bytes`.
 ///
 /// # Errors
-/// Why it is not whole.
-pub async fn read_whole(
+/// The reason why the reply could not be read completely.
+pub async fn buffer_reply(
     reply: Response<Incoming>,
     limit_bytes: usize,
     kept: &KeptBytes,
-) -> Result<WholeReply, String> {
-    let no_memory = || "the VM keeps no more for its callers".to_owned();
-    let mut kept = kept.try_keep(0).ok_or_else(no_memory)?;
+) -> Result<BufferedReply, String> {
+    let out_of_memory = || "the VM keeps no more for its callers".to_owned();
+    let mut memory = kept.try_keep(0).ok_or_else(out_of_memory)?;
     let (head, body) = reply.into_parts();
     let headers = head.headers.clone();
     let mut body = Limited::new(body, limit_bytes);
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| format!("the answer broke off: {error}"))?;
         let Ok(data) = frame.into_data() else { continue };
-        if !kept.try_grow(data.len()) {
-            return Err(no_memory());
+        if !memory.try_grow(data.len()) {
+            return Err(out_of_memory());
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    let reply = Response::from_parts(head, ReplyBody::Whole(Full::new(whole.freeze())));
-    Ok(WholeReply { reply: caller_head(reply), head: headers, kept })
+    let reply = Response::from_parts(head, ReplyBody::Whole(Full::new(buffer.freeze())));
+    Ok(BufferedReply { reply: strip_reply_headers(reply), head: headers, memory })
 }
 
-/// A reply without what concerns its connection only.
-pub fn caller_head(mut reply: Response<ReplyBody>) -> Response<ReplyBody> {
+/// Removes hop-by-hop headers from a reply.
+pub fn strip_reply_headers(mut reply: Response<ReplyBody>) -> Response<ReplyBody> {
     crate::job::strip_connection_headers(reply.headers_mut());
     reply
 }
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -1,16 +1,16 @@
-//! One sending of a stream's request, up to the head of the stream.
+//! Sends a stream's request once and waits for the head of the reply.
 
-use super::loss::{ActiveRoute, Loss, SilenceTimer, look_for_loss, move_request};
+use super::loss::{ActiveRoute, Loss, SilenceTimer, detect_loss, move_request};
 use super::target::Target;
-use crate::channels::Channel;
+use crate::connection_pool::PooledConnection;
+use crate::crashes::BrokenSend;
 use crate::endpoints::{Evidence, InFlightGuard, RequestPart};
-use crate::ends::BrokenSend;
 use crate::events::EventSplitter;
 use crate::gateway::Gateway;
-use crate::job::{Job, shares_of};
-use crate::sending::{Destination, Sent, read_whole, send};
+use crate::job::{Job, engine_shares};
+use crate::retries::SendFailureKind;
+use crate::sending::{Destination, SendOutcome, buffer_reply, send};
 use crate::store::MetadataStore;
-use crate::tries::Left;
 use crate::wire::{EventNumber, Wire};
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
@@ -24,24 +24,24 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest body of a failure that is passed on.
+/// Maximum size of a failure reply's body that is relayed to the caller.
 const MAX_FAILURE_BYTES: usize = 1 << 20;
 
-/// A stream that an endpoint sends.
+/// A stream that an endpoint is sending.
 pub(super) struct Upstream {
     pub(super) body: Incoming,
     pub(super) head: HeaderMap,
-    pub(super) channel: Channel,
+    pub(super) connection: PooledConnection,
     pub(super) path: Option<LayerPath>,
     pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
     pub(super) splitter: EventSplitter,
     pub(super) _in_flight: InFlightGuard,
     pub(super) sent_at: Instant,
-    /// When the first event came from this endpoint.
+    /// When the first event arrived from this endpoint.
     pub(super) first_event_at: Option<Instant>,
-    /// Whether the run was found to have passed its beginning here.
-    pub(super) has_passed_beginning: bool,
+    /// Whether the request was found to have run here past the suspicion window.
+    pub(super) has_passed_suspicion_window: bool,
 }
 
 impl Upstream {
@@ -55,11 +55,12 @@
         }
     }
 
-    /// Notes that an event came; answers, once, whether the run has passed its beginning here.
-    pub(super) fn passes_beginning(&mut self, now: Instant) -> bool {
+    /// Records that an event arrived. Returns true once, when the request has run here past the
+    /// suspicion window.
+    pub(super) fn passes_suspicion_window(&mut self, now: Instant) -> bool {
         let first = *self.first_event_at.get_or_insert(now);
         let has_passed = now.saturating_duration_since(first) >= SUSPICION_WINDOW;
-        has_passed && !std::mem::replace(&mut self.has_passed_beginning, true)
+        has_passed && !std::mem::replace(&mut self.has_passed_suspicion_window, true)
     }
 
     pub(super) fn active_route(&self) -> ActiveRoute<'_> {
@@ -72,65 +73,68 @@
     }
 }
 
-/// A stream that was begun, with the head for the caller, or an endpoint's own failure.
-pub(super) enum Begun {
+/// Reply of an endpoint: an open stream with its status, or the endpoint's own failure.
+pub(super) enum UpstreamReply {
     Stream(Box<Upstream>, StatusCode),
     Failure(Response<ReplyBody>),
 }
 
-/// A send that began no stream.
-pub(super) struct SendFailed {
+/// A send that opened no stream.
+pub(super) struct FailedAttempt {
     pub(super) endpoint: EndpointId,
     pub(super) at_fault: Option<EndpointId>,
-    pub(super) left: Left,
-    /// Whether the connection to the first endpoint ended before an answer came.
+    pub(super) kind: SendFailureKind,
+    /// Whether the connection to the first endpoint ended before a reply arrived.
     pub(super) is_broken: bool,
     pub(super) reason: String,
 }
 
-pub(super) enum SendOnce {
-    Begun(Begun),
-    Ended(SendFailed),
+/// Result of one send of a stream's request.
+pub(super) enum AttemptResult {
+    Replied(UpstreamReply),
+    Failed(FailedAttempt),
 }
 
+/// Sends a stream's request to a target once. While the reply is awaited, the request may be moved
+/// around lost engines.
 pub(super) async fn send_once<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     mut target: Target,
     resume_after: Option<EventNumber>,
-) -> SendOnce {
+) -> AttemptResult {
     let sent_at = Instant::now();
     let shares = match (&target.path, &job.service.engine) {
-        (Some(path), Some(figures)) => shares_of(path, job.demand(figures)),
+        (Some(path), Some(figures)) => engine_shares(path, job.demand(figures)),
         _ => vec![RequestPart { endpoint: target.endpoint.clone(), kv: 0.0 }],
     };
     let in_flight = gateway.endpoint_tracker.start(shares, sent_at);
     let endpoint = target.endpoint.clone();
-    let sent_path = target.path.clone();
-    let to = Destination { endpoint: &endpoint, address: target.address, path: sent_path.as_ref() };
-    let lost = watch_for_loss(gateway, job, &mut target);
+    let path = target.path.clone();
+    let to = Destination { endpoint: &endpoint, address: target.address, path: path.as_ref() };
+    let loss_detected = watch_for_loss(gateway, job, &mut target);
     let sent =
         futures_lite::future::or(async { Ok(send(gateway, job, to, resume_after).await) }, async {
-            Err(lost.await)
+            Err(loss_detected.await)
         })
         .await;
-    let ended = |at_fault, left, reason| {
+    let failed = |at_fault, kind, reason| {
         let (endpoint, is_broken) = (endpoint.clone(), false);
-        SendOnce::Ended(SendFailed { endpoint, at_fault, left, is_broken, reason })
+        AttemptResult::Failed(FailedAttempt { endpoint, at_fault, kind, is_broken, reason })
     };
     match sent {
         Err(loss) => {
             let at_fault = loss.engines.into_iter().next();
-            ended(at_fault, Left::MayHaveRun, loss.reason)
+            failed(at_fault, SendFailureKind::MayHaveRun, loss.reason)
         }
-        Ok(Sent::Success(reply, channel)) => {
-            gateway.on_evidence(&endpoint, Evidence::Good, sent_at, "a stream");
+        Ok(SendOutcome::Success(reply, connection)) => {
+            gateway.on_evidence(&endpoint, Evidence::Good, sent_at, "a stream was opened");
             let status = reply.status();
             let (head, body) = reply.into_parts();
             let upstream = Upstream {
                 body,
                 head: head.headers,
-                channel,
+                connection,
                 path: target.path,
                 endpoint: target.endpoint,
                 address: target.address,
@@ -138,26 +142,26 @@
                 _in_flight: in_flight,
                 sent_at,
                 first_event_at: None,
-                has_passed_beginning: false,
+                has_passed_suspicion_window: false,
             };
-            SendOnce::Begun(Begun::Stream(Box::new(upstream), status))
+            AttemptResult::Replied(UpstreamReply::Stream(Box::new(upstream), status))
         }
-        Ok(Sent::Failure(reply, channel)) => {
-            gateway.on_evidence(&endpoint, Evidence::Failed, sent_at, "a stream");
+        Ok(SendOutcome::Failure(reply, connection)) => {
+            gateway.on_evidence(&endpoint, Evidence::Failed, sent_at, "a stream failed to open");
             let status = reply.status();
-            if job.may_repeat() && job.may_send_again(Instant::now()) {
+            if job.is_idempotent() && job.may_send_again(Instant::now()) {
                 let reason = format!("the endpoint failed with status {}", status.as_u16());
-                return ended(None, Left::MayHaveRun, reason);
+                return failed(None, SendFailureKind::MayHaveRun, reason);
             }
-            match read_whole(reply, MAX_FAILURE_BYTES, &gateway.kept).await {
-                Ok(whole) => {
-                    gateway.keep_channel(&endpoint, channel, &whole.head);
-                    SendOnce::Begun(Begun::Failure(whole.reply))
+            match buffer_reply(reply, MAX_FAILURE_BYTES, &gateway.kept).await {
+                Ok(buffered) => {
+                    gateway.keep_channel(&endpoint, connection, &buffered.head);
+                    AttemptResult::Replied(UpstreamReply::Failure(buffered.reply))
                 }
-                Err(reason) => ended(None, Left::MayHaveRun, reason),
+                Err(reason) => failed(None, SendFailureKind::MayHaveRun, reason),
             }
         }
-        Ok(Sent::NotRun(refusal)) => {
+        Ok(SendOutcome::NotRun(refusal)) => {
             let at_fault = refusal
                 .at_fault
                 .and_then(|address| Some(target.path.as_ref()?.part_at(address)?.endpoint.clone()));
@@ -169,22 +173,32 @@
             if refusal.misdirected || at_fault.is_some() {
                 gateway.on_evidence(blamed, Evidence::RefusedPart, sent_at, &reason);
             }
-            let left = if refusal.misdirected { Left::Misdirected } else { Left::NotRun };
-            ended(at_fault, left, reason)
+            let kind = if refusal.misdirected {
+                SendFailureKind::Misdirected
+            } else {
+                SendFailureKind::NotRun
+            };
+            failed(at_fault, kind, reason)
         }
-        Ok(Sent::NotSent(reason)) => {
+        Ok(SendOutcome::NotSent(reason)) => {
             gateway.on_evidence(&endpoint, Evidence::Unreachable, sent_at, &reason);
-            ended(None, Left::NotSent, reason)
+            failed(None, SendFailureKind::NotSent, reason)
         }
-        Ok(Sent::Lost(reason)) => {
+        Ok(SendOutcome::Lost(reason)) => {
             gateway.on_evidence(&endpoint, Evidence::Failed, sent_at, &reason);
-            let (at_fault, left) = (None, Left::MayHaveRun);
-            SendOnce::Ended(SendFailed { endpoint, at_fault, left, is_broken: true, reason })
+            let (at_fault, kind) = (None, SendFailureKind::MayHaveRun);
+            AttemptResult::Failed(FailedAttempt {
+                endpoint,
+                at_fault,
+                kind,
+                is_broken: true,
+                reason,
+            })
         }
     }
 }
 
-/// Waits until endpoints of the target are found to be lost and cannot be replaced.
+/// Waits until engines of the target are lost and the request cannot be moved around them.
 async fn watch_for_loss<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
@@ -200,7 +214,7 @@
             path: target.path.as_ref(),
             since,
         };
-        let Some(loss) = look_for_loss(gateway, job, active_route, timer.on_silence()).await else {
+        let Some(loss) = detect_loss(gateway, job, active_route, timer.on_silence()).await else {
             continue;
         };
         match move_request(gateway, job, active_route, &loss).await {
--- /dev/null
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -0,0 +1,247 @@
+//! Relays a stream's events, and resumes the stream elsewhere when its endpoint is lost.
+
+use super::StreamGuard;
+use super::attempt::{Upstream, UpstreamReply};
+use super::loss::{Loss, Silence, SilenceTimer, detect_loss, move_request};
+use super::open::open_stream;
+use crate::crashes::check_broken_send;
+use crate::decisions::{FailedSend, Outcome};
+use crate::events::EventSplitter;
+use crate::gateway::Gateway;
+use crate::job::Job;
+use crate::store::MetadataStore;
+use crate::wire::{EventNumber, Wire};
+use http_body_util::BodyExt;
+use hyper::StatusCode;
+use sillbank_catalog::prelude::*;
+use sillbank_core::prelude::*;
+use sillbank_net::prelude::*;
+use std::rc::Rc;
+use std::time::Instant;
+
+/// Bytes buffered for a slow caller above which reading from the endpoint stops.
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
+
+/// Relays events from endpoints to one caller.
+pub(super) struct StreamRelay<W: Wire, S: MetadataStore> {
+    pub(super) gateway: Rc<Gateway<W, S>>,
+    pub(super) job: Rc<Job>,
+    pub(super) rules: StreamRules,
+    pub(super) outbox: Outbox,
+    /// Memory budget taken by an incomplete event.
+    pub(super) partial_event_memory: Option<KeptShare>,
+    /// Number of the last event that was sent to the caller.
+    pub(super) last_number: Option<EventNumber>,
+    pub(super) events: u64,
+}
+
+/// How the part of a stream that one endpoint sent ended.
+enum SegmentEnd {
+    /// The stream is complete.
+    Complete,
+    /// The stream broke: the endpoint at fault if it is not the first one, and the reason.
+    Broken(Option<EndpointId>, String),
+}
+
+/// Result of a check of a silent stream.
+enum LossCheck {
+    /// No engine was found lost.
+    NoLoss,
+    /// An engine is lost; the stream was moved, or may continue where it is.
+    Recoverable,
+    /// An engine is lost and the stream cannot continue.
+    Fatal(Loss),
+}
+
+impl<W: Wire, S: MetadataStore> StreamRelay<W, S> {
+    pub(super) async fn run(mut self, upstream: Upstream, mut guard: StreamGuard<W, S>) {
+        let outbox = self.outbox.clone();
+        let deadline = self.job.deadline;
+        let caller_gone = async {
+            std::future::poll_fn(|context| outbox.poll_gone(context)).await;
+            match outbox.reader_cut() {
+                true => (Outcome::BrokenOff, "the caller read nothing for too long".to_owned()),
+                false => (Outcome::CallerLeft, "the caller left".to_owned()),
+            }
+        };
+        let past_deadline = async {
+            smol::Timer::at(deadline).await;
+            (Outcome::BrokenOff, "the deadline passed".to_owned())
+        };
+        let relay = self.relay(upstream);
+        let end =
+            futures_lite::future::or(relay, futures_lite::future::or(caller_gone, past_deadline))
+                .await;
+        let (outcome, reason) = end;
+        if outcome == Outcome::Answered {
+            self.outbox.close();
+        } else {
+            self.outbox.break_off();
+        }
+        guard.end(outcome, StatusCode::OK.as_u16(), self.events, &reason);
+    }
+
+    async fn relay(&mut self, mut upstream: Upstream) -> (Outcome, String) {
+        loop {
+            let (at_fault, reason) = match self.relay_segment(&mut upstream).await {
+                SegmentEnd::Complete => {
+                    self.gateway.on_request_survived(&self.job);
+                    let Upstream { connection, endpoint, head, .. } = upstream;
+                    self.gateway.keep_channel(&endpoint, connection, &head);
+                    return (Outcome::Answered, String::new());
+                }
+                SegmentEnd::Broken(at_fault, reason) => (at_fault, reason),
+            };
+            self.gateway.decisions.send_failed(
+                &self.job,
+                &FailedSend {
+                    endpoint: &upstream.endpoint,
+                    at_fault: at_fault.as_deref(),
+                    run: self.job.run.get().state(),
+                    reason: &reason,
+                    after: upstream.sent_at.elapsed(),
+                },
+            );
+            if at_fault.is_none() {
+                check_broken_send(&self.gateway, &self.job, upstream.broken_send()).await;
+            }
+            let avoid = vec![at_fault.unwrap_or_else(|| upstream.endpoint.clone())];
+            drop(upstream);
+            match self.resume(avoid).await {
+                Some(resumed) => upstream = resumed,
+                None => return (Outcome::BrokenOff, reason),
+            }
+        }
+    }
+
+    /// Resumes the stream on another path, if that is allowed.
+    async fn resume(&self, avoid: Vec<EndpointId>) -> Option<Upstream> {
+        let is_quarantined = self.gateway.quarantined_for(&self.job).is_some();
+        if is_quarantined || !self.rules.resumable || !self.gateway.may_send_again(&self.job) {
+            return None;
+        }
+        match open_stream(&self.gateway, &self.job, self.last_number, avoid).await {
+            Ok(UpstreamReply::Stream(upstream, _)) => {
+                self.gateway.metrics.resumes.inc();
+                Some(*upstream)
+            }
+            Ok(UpstreamReply::Failure(_)) | Err(_) => None,
+        }
+    }
+
+    async fn relay_segment(&mut self, upstream: &mut Upstream) -> SegmentEnd {
+        let activity = upstream
+            .path
+            .as_ref()
+            .map(|path| self.gateway.stream_activity.register(path, Instant::now()));
+        let mut silence_timer = SilenceTimer::new(self.rules.gap_objective);
+        let mut check_timer = smol::Timer::after(silence_timer.wait());
+        let mut last_data_at = Instant::now();
+        loop {
+            let next = async { Some(upstream.body.frame().await) };
+            let timeout = async {
+                (&mut check_timer).await;
+                None
+            };
+            let Some(frame) = futures_lite::future::or(next, timeout).await else {
+                let silence = silence_timer.on_silence();
+                match self.move_around_loss(upstream, silence).await {
+                    LossCheck::NoLoss if silence != Silence::Long => silence_timer.on_false_alarm(),
+                    LossCheck::NoLoss | LossCheck::Recoverable => {}
+                    LossCheck::Fatal(loss) => {
+                        return SegmentEnd::Broken(loss.engines.into_iter().next(), loss.reason);
+                    }
+                }
+                if let (Some(activity), Some(path)) = (&activity, &upstream.path) {
+                    activity.on_moved(path);
+                }
+                check_timer.set_after(silence_timer.wait());
+                continue;
+            };
+            let now = Instant::now();
+            silence_timer.on_data(now.saturating_duration_since(last_data_at));
+            last_data_at = now;
+            if let Some(activity) = &activity {
+                activity.on_event(now);
+            }
+            check_timer.set_after(silence_timer.wait());
+            match frame {
+                None if upstream.splitter.has_partial_event() => {
+                    return SegmentEnd::Broken(None, "the stream ended within an event".to_owned());
+                }
+                None => return SegmentEnd::Complete,
+                Some(Err(error)) => {
+                    return SegmentEnd::Broken(None, format!("the stream broke: {error}"));
+                }
+                Some(Ok(frame)) => {
+                    if upstream.passes_suspicion_window(now) {
+                        self.gateway.on_request_survived(&self.job);
+                    }
+                    if let Some(data) = frame.data_ref()
+                        && let Err(reason) = self.relay_bytes(&mut upstream.splitter, data)
+                    {
+                        return SegmentEnd::Broken(None, reason);
+                    }
+                }
+            }
+            if self.outbox.waiting_bytes() > MAX_BUFFERED_BYTES {
+                self.outbox.drained_to(MAX_BUFFERED_BYTES / 2).await;
+                // Reading from the endpoint was suspended, so this time is not a pause of the
+                // endpoint.
+                last_data_at = Instant::now();
+                check_timer.set_after(silence_timer.wait());
+            }
+        }
+    }
+
+    /// Checks for lost engines and moves the stream around them.
+    async fn move_around_loss(&self, upstream: &mut Upstream, silence: Silence) -> LossCheck {
+        let active_route = upstream.active_route();
+        let Some(loss) = detect_loss(&self.gateway, &self.job, active_route, silence).await else {
+            return LossCheck::NoLoss;
+        };
+        match move_request(&self.gateway, &self.job, active_route, &loss).await {
+            Some(path) => {
+                self.job.delivery.on_moved();
+                upstream.path = Some(path);
+                upstream.sent_at = Instant::now();
+                LossCheck::Recoverable
+            }
+            None if loss.is_certain => LossCheck::Fatal(loss),
+            None => LossCheck::Recoverable,
+        }
+    }
+
+    /// Sends complete events to the caller; skips events that the caller already has.
+    fn relay_bytes(&mut self, splitter: &mut EventSplitter, data: &[u8]) -> Result<(), String> {
+        splitter.push(data).map_err(|error| error.to_string())?;
+        while let Some(event) = splitter.next_event() {
+            if let (Some(last_number), Some(number)) = (self.last_number, event.number) {
+                if number <= last_number {
+                    continue;
+                }
+                if number > last_number + 1 {
+                    return Err(format!("event {number} came after event {last_number}"));
+                }
+            }
+            self.last_number = event.number.or(self.last_number);
+            self.events += 1;
+            self.job.delivery.on_event(self.job.received_at, Instant::now());
+            self.outbox.write(&event.bytes);
+        }
+        self.reserve_partial_event(splitter.buffered_bytes())
+    }
+
+    /// Charges the bytes of an incomplete event to the VM's memory budget.
+    fn reserve_partial_event(&mut self, bytes: usize) -> Result<(), String> {
+        let Some(partial_event_memory) = &mut self.partial_event_memory else {
+            self.partial_event_memory = self.gateway.kept.try_keep(bytes);
+            return self.partial_event_memory.as_ref().map(|_| ()).ok_or_else(out_of_memory);
+        };
+        partial_event_memory.try_resize(bytes).then_some(()).ok_or_else(out_of_memory)
+    }
+}
+
+fn out_of_memory() -> String {
+    "no memory left to buffer an incomplete event".to_owned()
+}
--- a/crates/sillbank_gateway/src/vm_limits/watch.rs
+++ b/crates/sillbank_gateway/src/vm_limits/monitor.rs
@@ -1,6 +1,6 @@
-//! Reads what a VM uses, and tells when it comes near a limit.
+//! Reads a VM's resource use and reacts to changes of its limit state.
 
-use super::meter::{Standing, VmCapacity, VmReading};
+use super::meter::{LimitState, VmCapacity, VmReading};
 use crate::gateway::Gateway;
 use crate::metrics::LimitLabel;
 use crate::store::MetadataStore;
@@ -8,59 +8,59 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often it is read. Ten wakes a second cost less than a request does, and a rise is seen within the
-/// half second for which a full link may hold packets.
-const READ_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between readings. Ten wake-ups a second cost less than one request, and a rise is seen
+/// within the half second for which a full link may queue packets.
+const READING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads what this VM uses for as long as the program runs.
-pub async fn watch_limits<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
+/// Reads this VM's resource use for as long as the program runs.
+pub async fn monitor_limits<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
-        let due = Instant::now() + READ_INTERVAL;
+        let due = Instant::now() + READING_INTERVAL;
         smol::Timer::at(due).await;
         let now = Instant::now();
         let reading = VmReading {
             passed_bytes: gateway.kept.passed_bytes(),
             requests: gateway.in_progress.get(),
-            kept_bytes: gateway.kept.kept_bytes(),
+            buffered_bytes: gateway.kept.kept_bytes(),
             connections: gateway.kept.connections(),
             timer_lag: now.saturating_duration_since(due),
         };
         let settings = gateway.settings();
         let capacity = VmCapacity {
             link_mbps: settings.link_mbps,
-            kept_bytes: settings.kept_bound_bytes(),
-            connections: settings.max_caller_connections(),
+            max_buffered_bytes: settings.buffer_limit_bytes(),
+            max_connections: settings.max_caller_connections(),
         };
         let has_changed = gateway.limits.borrow_mut().on_reading(now, reading, capacity);
-        note(&gateway);
+        update_metrics(&gateway);
         if has_changed {
-            log_standing(&gateway, &reading);
+            log_state(&gateway, &reading);
         }
     }
 }
 
-fn note<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) {
+fn update_metrics<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>) {
     for (limit, pressure) in gateway.limits.borrow().pressures().by_limit() {
         let label = LimitLabel { limit: limit.name() };
         gateway.metrics.vm_pressure.get_or_create(&label).set(pressure);
     }
-    gateway.metrics.note_kept(&gateway.kept);
+    gateway.metrics.record_buffered_bytes(&gateway.kept);
 }
 
-fn log_standing<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, reading: &VmReading) {
+fn log_state<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, reading: &VmReading) {
     let limits = gateway.limits.borrow();
     let (limit, pressure) = limits.pressures().worst();
-    let message = match limits.standing() {
-        Standing::Clear => "vm: Has room again.",
-        Standing::Near => "vm: Near a limit.",
-        Standing::Full => "vm: At a limit.",
+    let message = match limits.state() {
+        LimitState::Clear => "vm: Has room again.",
+        LimitState::Near => "vm: Near a limit.",
+        LimitState::Full => "vm: At a limit.",
     };
     tracing::info!(
         limit = limit.name(),
         pressure,
         requests = reading.requests,
         connections = reading.connections,
-        kept_bytes = reading.kept_bytes,
+        kept_bytes = reading.buffered_bytes,
         timer_lag_ms = reading.timer_lag.as_millis() as u64,
         acts = gateway.settings().mechanisms.vm_limits,
         "{message}"
--- a/crates/sillbank_gateway/tests/endpoints.rs
+++ b/crates/sillbank_gateway/tests/endpoints.rs
@@ -1,8 +1,8 @@
 //! Which endpoints are ejected by observed evidence, and for how long.
 
 use sillbank_fleet::prelude::*;
-use sillbank_gateway::doctor::{Probe, lost_by_probes, silence_means_loss};
 use sillbank_gateway::endpoints::{EndpointTracker, Evidence, RequestPart};
+use sillbank_gateway::probes::{Probe, lost_engines, silence_means_loss};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -127,7 +127,7 @@
 fn an_engine_that_refuses_a_call_while_a_stream_stands_still_is_lost() {
     let probes = probes(&[("a", Probe::Silent), ("b", Probe::Refused), ("c", Probe::Silent)]);
 
-    let lost = lost_by_probes(&probes);
+    let lost = lost_engines(&probes);
 
     assert_eq!(lost, vec![("b".to_owned(), Probe::Refused)]);
 }
@@ -137,7 +137,7 @@
 fn an_engine_that_is_silent_while_most_others_answer_is_lost() {
     let probes = probes(&[("a", Probe::Answered), ("b", Probe::Silent), ("c", Probe::Answered)]);
 
-    let lost = lost_by_probes(&probes);
+    let lost = lost_engines(&probes);
 
     assert_eq!(lost, vec![("b".to_owned(), Probe::Silent)]);
 }
@@ -147,7 +147,7 @@
 fn a_vm_that_reaches_hardly_any_engine_considers_none_lost() {
     let probes = probes(&[("a", Probe::Silent), ("b", Probe::Silent), ("c", Probe::Answered)]);
 
-    assert!(lost_by_probes(&probes).is_empty());
+    assert!(lost_engines(&probes).is_empty());
 }
 
 /// A recent answer makes a probe unnecessary.
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -12,12 +12,12 @@
 use sillbank_gateway::endpoints::EndpointTracker;
 use sillbank_gateway::feed::{EngineState, HallReport};
 use sillbank_gateway::hall::Hall;
-use sillbank_gateway::ladder_metrics::{AskedLabel, LadderMetrics};
 use sillbank_gateway::load::{AdmissionRequest, FleetLoad, NotAdmitted, fleet_capacity};
 use sillbank_gateway::mechanisms::Mechanisms;
 use sillbank_gateway::paths::RoutingContext;
 use sillbank_gateway::platform_view::PlatformView;
 use sillbank_gateway::revision::Revision;
+use sillbank_gateway::shedding_metrics::{AdmissionLabel, SheddingMetrics};
 use sillbank_gateway::store::Snapshot;
 use sillbank_pushback::prelude::*;
 use std::cell::RefCell;
@@ -359,16 +359,16 @@
 /// Requests are counted by rank and outcome; ranks beyond the last are counted as the last.
 #[test]
 fn requests_are_counted_by_rank_and_end_and_absurd_ranks_as_the_last() {
-    let metrics = LadderMetrics::default();
+    let metrics = SheddingMetrics::default();
     let late = NotAdmitted { fullness: 1.0, is_late: true };
     let of = |organisation| Priority { organisation, route: 0 };
 
-    metrics.on_asked("gen", of(1), Ok(()));
-    metrics.on_asked("gen", of(1), Err(NotAdmitted { is_late: false, ..late }));
-    (0..200).for_each(|rank| metrics.on_asked("gen", of(50 + rank), Err(late)));
+    metrics.record_admission("gen", of(1), Ok(()));
+    metrics.record_admission("gen", of(1), Err(NotAdmitted { is_late: false, ..late }));
+    (0..200).for_each(|rank| metrics.record_admission("gen", of(50 + rank), Err(late)));
 
     let count = |rank, end| {
-        let label = AskedLabel { service: "gen".to_owned(), rank, end };
+        let label = AdmissionLabel { service: "gen".to_owned(), rank, end };
         metrics.asked.get_or_create(&label).get()
     };
     assert_eq!((count(1, "let_in"), count(1, "refused_rank")), (1, 1));
