--- a/crates/sillbank_gateway/src/backoff.rs
+++ b/crates/sillbank_gateway/src/backoff.rs
@@ -4,9 +4,9 @@
 use crate::hall::Hall;
 use std::time::{Duration, Instant};
 
-/// Pause after the first failed call; doubled up to [`Hall::longest_pause`] and multiplied by a
-/// random share, so that VMs do not all retry at once. The VM that reports to its hall takes the
-/// longest pause without a random share.
+/// Pause after the first failed call; doubled up to [`Hall::max_retry_pause`] and multiplied by a
+/// random share, so that VMs do not all retry at once. A hall's acting leader takes the maximum
+/// pause without a random share.
 const INITIAL_PAUSE: Duration = Duration::from_millis(100);
 /// Minimum random share of a pause. With 0.5, the VMs of a hall whose calls had all failed retried
 /// only after half of the longest pause, and none of them sooner.
@@ -42,14 +42,15 @@
     /// Time left of the pause. It is to be computed again and again: a pause that is short enough
     /// while the leader is live is too long once the leader is lost.
     pub fn remaining(&self, now: Instant, hall: &Hall, freshness: Freshness) -> Duration {
-        let longest = hall.max_retry_pause(now, freshness);
+        let max_pause = hall.max_retry_pause(now, freshness);
         // A single failed call shows that the store is unreachable for both; the leader keeps
         // trying.
-        let full = if hall.leader_is_live(now) { longest } else { self.exponential.min(longest) };
-        // No other VM of the hall retries along with the one that reports to it, and its first
-        // pauses were random. With a random share of the longest pause as well, it called 3.4 times
-        // a second where two calls a second serve the hall as well.
-        let is_randomised = hall.acting_fence.get().is_none() || full < longest;
+        let full =
+            if hall.leader_is_live(now) { max_pause } else { self.exponential.min(max_pause) };
+        // No other VM of the hall retries along with its acting leader, whose first pauses were
+        // random. With a random share of the maximum pause as well, it called 3.4 times a second
+        // where two calls a second serve the hall as well.
+        let is_randomised = hall.acting_fence.get().is_none() || full < max_pause;
         let random_share = if is_randomised { self.random_share } else { 1.0 };
         (self.began + full.mul_f64(random_share)).saturating_duration_since(now)
     }
--- a/crates/sillbank_gateway/src/forecasts.rs
+++ b/crates/sillbank_gateway/src/forecasts.rs
@@ -55,14 +55,14 @@
     pub fn predict(
         &self,
         context: RoutingContext<'_>,
-        ask: PathRequest<'_>,
+        request: PathRequest<'_>,
         path: &LayerPath,
     ) -> Option<StreamForecast> {
         let (hall, uncorrected) = context.platform.endpoints(|directory| {
             let hall = directory.get(&path.first().endpoint)?.hall.clone();
-            let load = |part| reported_load(context, ask.figures, directory, part);
+            let load = |part| reported_load(context, request.figures, directory, part);
             let loads: Option<Vec<EngineLoad<'_>>> = path.parts().iter().map(load).collect();
-            Some((hall, forecast(ask.figures, &loads?, ask.demand)))
+            Some((hall, forecast(request.figures, &loads?, request.demand)))
         })?;
         let correction = self.by_hall.borrow().get(&hall).copied().unwrap_or_default();
         let corrected = ForecastTimes {
@@ -133,11 +133,11 @@
 ) -> Option<EngineLoad<'a>> {
     let record = directory.get(&part.endpoint)?;
     let kind = figures.accelerator(record.accelerator.as_deref()?)?;
-    context.hall.reports.engine(&record.hall, &record.id, context.now, |news| EngineLoad {
+    context.hall.reports.engine(&record.hall, &record.id, context.now, |report| EngineLoad {
         kind,
         layers: part.layers.len(),
-        running: f64::from(news.state.running),
-        waiting: f64::from(news.state.waiting),
-        pace: f64::from(news.state.pace_permille) / 1000.0,
+        running: f64::from(report.state.running),
+        waiting: f64::from(report.state.waiting),
+        pace: f64::from(report.state.pace_permille) / 1000.0,
     })
 }
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -192,7 +192,7 @@
 }
 
 /// Query by which a path for a request is chosen.
-pub fn path_ask<'a>(
+pub fn path_request<'a>(
     job: &'a Job,
     figures: &'a EngineFigures,
     local_hall: &'a str,
--- a/crates/sillbank_gateway/src/metrics.rs
+++ b/crates/sillbank_gateway/src/metrics.rs
@@ -281,9 +281,9 @@
 
 impl Metrics {
     /// Updates the metrics of buffered bytes.
-    pub fn record_buffered_bytes(&self, kept: &KeptBytes) {
-        self.kept_bytes.set(kept.kept_bytes() as i64);
-        self.callers_cut.inc_by(kept.cut().saturating_sub(self.callers_cut.get()));
+    pub fn record_buffered_bytes(&self, memory_budget: &KeptBytes) {
+        self.kept_bytes.set(memory_budget.kept_bytes() as i64);
+        self.callers_cut.inc_by(memory_budget.cut().saturating_sub(self.callers_cut.get()));
     }
 
     /// The registry that is served on the metrics address.
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -177,10 +177,10 @@
 pub async fn buffer_reply(
     reply: Response<Incoming>,
     limit_bytes: usize,
-    kept: &KeptBytes,
+    memory_budget: &KeptBytes,
 ) -> Result<BufferedReply, String> {
     let out_of_memory = || "the VM keeps no more for its callers".to_owned();
-    let mut memory = kept.try_keep(0).ok_or_else(out_of_memory)?;
+    let mut memory = memory_budget.try_keep(0).ok_or_else(out_of_memory)?;
     let (head, body) = reply.into_parts();
     let headers = head.headers.clone();
     let mut body = Limited::new(body, limit_bytes);
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoints::Evidence;
 use crate::gateway::Gateway;
-use crate::job::{Job, path_ask};
+use crate::job::{Job, path_request};
 use crate::metrics::KindLabel;
 use crate::paths::choose_repaired_path;
 use crate::probes::{Diagnosis, Probe, diagnose, probe_path, silence_means_loss};
@@ -271,8 +271,9 @@
     let figures = job.service.engine.as_ref()?;
     let local_hall = gateway.settings().hall.clone();
     let context = gateway.routing_context(Instant::now());
-    let ask = path_ask(job, figures, &local_hall, lost);
-    lost.iter().try_fold(path.clone(), |path, lost| choose_repaired_path(context, ask, &path, lost))
+    let request = path_request(job, figures, &local_hall, lost);
+    lost.iter()
+        .try_fold(path.clone(), |path, lost| choose_repaired_path(context, request, &path, lost))
 }
 
 fn standing<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, id: &str) -> Option<Standing> {
--- a/crates/sillbank_gateway/src/streams/open.rs
+++ b/crates/sillbank_gateway/src/streams/open.rs
@@ -105,7 +105,7 @@
     if !gateway.settings().mechanisms.ladder {
         return Ok(());
     }
-    let ask = AdmissionRequest {
+    let request = AdmissionRequest {
         service: &job.service,
         figures,
         route: &job.route,
@@ -113,9 +113,9 @@
         left: job.head.time_left,
         draw: gateway.chance.fraction(),
     };
-    let admitted = gateway.load.admit(gateway.routing_context(Instant::now()), ask);
+    let admitted = gateway.load.admit(gateway.routing_context(Instant::now()), request);
     let metrics = &gateway.metrics.shedding;
-    metrics.record_admission(&job.service.name, ask.priority, admitted);
+    metrics.record_admission(&job.service.name, request.priority, admitted);
     if let Some(estimate) = gateway.load.estimate(&job.service.name) {
         metrics.set_estimate(&job.service.name, estimate);
     }
--- a/crates/sillbank_gateway/src/streams/target.rs
+++ b/crates/sillbank_gateway/src/streams/target.rs
@@ -1,7 +1,7 @@
 //! Chooses the endpoint or path that a stream's request is sent to.
 
 use crate::gateway::Gateway;
-use crate::job::{Job, path_ask};
+use crate::job::{Job, path_request};
 use crate::paths::{
     PathRequest, choose_any_path, choose_path, first_engines, has_path_despite_pushback,
     isolation_engine,
@@ -59,10 +59,10 @@
         return choose_endpoint(gateway, job, avoid, now);
     };
     let context = gateway.routing_context(now);
-    let ask = path_ask(job, figures, &local_hall, avoid);
+    let request = path_request(job, figures, &local_hall, avoid);
     let mut avoid = avoid.to_vec();
     if let Some(remaining) = gateway.isolated_for(job) {
-        let mut candidates = first_engines(context, ask);
+        let mut candidates = first_engines(context, request);
         // An endpoint that the request has tried counts again once it has restarted.
         let has_restarted =
             |first: &str| gateway.endpoint_tracker.restarted_since(first, job.received_at);
@@ -72,17 +72,17 @@
         };
         avoid.extend(candidates.iter().filter(|first| *first != chosen).cloned());
     }
-    let ask = PathRequest { avoid: &avoid, ..ask };
-    if let Some(path) = choose_path(context, ask) {
+    let request = PathRequest { avoid: &avoid, ..request };
+    if let Some(path) = choose_path(context, request) {
         if context.mechanisms.forecasts {
-            job.forecast.get_or_init(|| gateway.forecasts.predict(context, ask, &path));
+            job.forecast.get_or_init(|| gateway.forecasts.predict(context, request, &path));
         }
         return Ok(Target::from_path(path));
     }
-    match choose_any_path(context, ask) {
+    match choose_any_path(context, request) {
         Some(path) if resume_after.is_some() => Ok(Target::from_path(path)),
         Some(_) => Err(NoTarget::NoRoom),
-        None if has_path_despite_pushback(context, ask) => Err(NoTarget::Withheld),
+        None if has_path_despite_pushback(context, request) => Err(NoTarget::Withheld),
         None => Err(NoTarget::NoPath),
     }
 }
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -121,10 +121,10 @@
     };
     let figures = service.engine.as_ref().expect("the service has engine figures");
     let demand = RequestSize::usual(figures);
-    let ask =
+    let request =
         PathRequest { service: &service, figures, local_hall: LOCAL_HALL, avoid: &[], demand };
-    let path = choose_path(context, ask).expect("a path exists");
-    forecasts.predict(context, ask, &path)
+    let path = choose_path(context, request).expect("a path exists");
+    forecasts.predict(context, request, &path)
 }
 
 /// A stream, received 10 ms before it was sent, that took `first_event_ratio` and `pause_ratio` of the
