--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -160,7 +160,7 @@
             }
         };
         let service = route
-            .choose_service(self.gateway.chance.fraction())
+            .choose_service(self.gateway.rng.fraction())
             .and_then(|name| catalog.service(name))
             .ok_or_else(|| not_ready("the route's service is not configured"))?;
         if self.gateway.standing() == LimitState::Full {
@@ -202,7 +202,7 @@
             let reason = format!("the body is longer than {} bytes", limits.max_body_bytes);
             Failure::before_work(FailureKind::TooLarge, reason)
         };
-        let mut memory = self.gateway.kept.try_keep(0).ok_or_else(out_of_memory)?;
+        let mut memory = self.gateway.memory_budget.try_keep(0).ok_or_else(out_of_memory)?;
         if body.is_end_stream() {
             return Ok(ReadBody { bytes: Bytes::new(), memory });
         }
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -263,7 +263,7 @@
     reply: Response<Incoming>,
     channel: PooledConnection,
 ) -> Result<BufferedReply, String> {
-    let whole = buffer_reply(reply, MAX_ANSWER_BYTES, &gateway.kept).await?;
+    let whole = buffer_reply(reply, MAX_ANSWER_BYTES, &gateway.memory_budget).await?;
     gateway.keep_channel(&choice.endpoint, channel, &whole.head);
     Ok(whole)
 }
@@ -276,7 +276,7 @@
 ) -> Result<Choice, CallRefusal> {
     let now = Instant::now();
     let settings = gateway.settings();
-    let draw = || gateway.chance.fraction();
+    let draw = || gateway.rng.fraction();
     let context = gateway.routing_context(now);
     gateway.platform.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -51,7 +51,7 @@
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!(%error, "feed: Failed to set TCP_NODELAY on a connection.");
     }
-    let mut stream = Metered::new(stream, gateway.kept.open());
+    let mut stream = Metered::new(stream, gateway.memory_budget.open());
     loop {
         let timeout = async {
             smol::Timer::after(IDLE_TIMEOUT).await;
--- a/crates/sillbank_gateway/src/follow.rs
+++ b/crates/sillbank_gateway/src/follow.rs
@@ -25,7 +25,7 @@
 
 /// Waits before the next call, and rechecks at intervals whether the leader is still live.
 async fn pause<W: Wire, S: MetadataStore>(backoff: &mut Backoff, gateway: &Gateway<W, S>) {
-    let pause = backoff.next_pause(Instant::now(), gateway.chance.fraction());
+    let pause = backoff.next_pause(Instant::now(), gateway.rng.fraction());
     loop {
         let left = pause.remaining(Instant::now(), &gateway.hall, gateway.freshness());
         if left.is_zero() {
--- a/crates/sillbank_gateway/src/freshness.rs
+++ b/crates/sillbank_gateway/src/freshness.rs
@@ -39,7 +39,7 @@
 /// Largest delay of a confirmation that arrives through another hall's leader: its request, which
 /// is answered with each confirmation, the pause after it, and a wait for the processor.
 const OTHER_HALL_DELAY: Duration = Duration::from_millis(200);
-/// Time after a restore of the store from a backup within which the operator writes the newest
+/// Time after a restore of the store from a copy within which the operator writes the newest
 /// configuration again. Until then the store may lack the revocation of a key.
 pub const RESTORE_SETTLE_TIME: Duration = Duration::from_millis(1_000);
 /// Shortest wait of a leader's watch, as each return is a billed call.
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -71,13 +71,13 @@
     pub hall: Hall,
     /// Health of endpoints and work in flight, as this VM observes them.
     pub endpoint_tracker: Rc<EndpointTracker>,
-    /// Endpoints that ended while they ran a request.
+    /// Endpoints that crashed while they ran a request.
     pub crashed_endpoints: CrashedEndpoints,
     /// Rate limits and pauses that endpoints asked for in their answers.
     pub pushback: RefCell<PushbackTracker>,
     /// Rate leases that this VM grants while it leads.
     pub rate_leases: RateLeases,
-    /// Requests during which endpoints ended.
+    /// Requests during which endpoints crashed.
     pub quarantine: RefCell<Quarantine>,
     /// Whether the quarantine list was received from a leader or read from the store since the
     /// start.
@@ -103,7 +103,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Bytes buffered for callers and endpoints.
-    pub kept: KeptBytes,
+    pub memory_budget: KeptBytes,
     /// How near this VM is to its own limits.
     pub limits: RefCell<LimitMeter>,
     /// Runs tasks.
@@ -113,7 +113,7 @@
     /// Random number that distinguishes this process from earlier ones on the same VM.
     pub incarnation: Incarnation,
     /// Source of randomness for all decisions.
-    pub chance: Chance,
+    pub rng: Chance,
     /// Number of requests in progress.
     pub in_progress: Cell<u64>,
     store_reached: Cell<bool>,
@@ -125,24 +125,24 @@
 
 impl<W: Wire, S> Gateway<W, S> {
     /// Creates a gateway with an empty view of the platform. All random decisions draw from
-    /// `chance`.
+    /// `rng`.
     pub fn new(
         settings: GatewaySettings,
         store: S,
         engine_calls: HttpClient,
         executor: Rc<LocalExecutor<'static>>,
-        chance: Chance,
+        rng: Chance,
     ) -> Self {
         let metrics = Metrics::default();
-        let (incarnation, began) = (chance.number(), Instant::now());
+        let (incarnation, began) = (rng.number(), Instant::now());
         Self {
             platform: PlatformView::new(settings.key_revocation),
-            kept: KeptBytes::new(settings.buffer_limit_bytes()),
+            memory_budget: KeptBytes::new(settings.buffer_limit_bytes()),
             settings: RefCell::new(Rc::new(settings)),
             store: CountedStore::new(store, metrics.store_calls.clone()),
             unreadable: UnreadableEntries::default(),
             limits: RefCell::default(),
-            hall: Hall::new(chance.clone()),
+            hall: Hall::new(rng.clone()),
             endpoint_tracker: Rc::default(),
             crashed_endpoints: CrashedEndpoints::default(),
             pushback: RefCell::default(),
@@ -162,7 +162,7 @@
             executor,
             lifecycle: Cell::new(LifecycleState::Serving),
             incarnation,
-            chance,
+            rng,
             in_progress: Cell::new(0),
             store_reached: Cell::new(true),
             budgets: RefCell::default(),
@@ -191,7 +191,7 @@
             endpoint_tracker: &self.endpoint_tracker,
             pushback: &self.pushback,
             mechanisms,
-            chance: &self.chance,
+            rng: &self.rng,
             now,
         }
     }
--- a/crates/sillbank_gateway/src/hall.rs
+++ b/crates/sillbank_gateway/src/hall.rs
@@ -82,7 +82,7 @@
     other_leaders: RefCell<BTreeMap<HallId, OtherLeader>>,
     /// Reports of all halls.
     pub reports: HallReports,
-    chance: Chance,
+    rng: Chance,
     followers: RefCell<BTreeMap<VmId, Follower>>,
     /// Leader named by the previous leader; takes precedence over the lease as read.
     redirect: Cell<Option<SocketAddr>>,
@@ -101,8 +101,8 @@
 }
 
 impl Hall {
-    /// Creates an empty state. The stagger of this VM's calls to the store is drawn from `chance`.
-    pub fn new(chance: Chance) -> Self {
+    /// Creates an empty state. The stagger of this VM's calls to the store is drawn from `rng`.
+    pub fn new(rng: Chance) -> Self {
         Self {
             reported_vms: Cell::default(),
             lease_fence: Cell::default(),
@@ -113,7 +113,7 @@
             leader_holds_lease: Cell::default(),
             other_leaders: RefCell::default(),
             reports: HallReports::default(),
-            chance,
+            rng,
             followers: RefCell::default(),
             redirect: Cell::default(),
             is_nominated: Cell::default(),
@@ -131,7 +131,7 @@
         self.last_update.set(Some(now));
         if self.confirmed.replace(confirmed) != confirmed {
             // The square root makes early calls rare, so that few VMs of a hall make them.
-            self.stagger.set(self.chance.fraction().sqrt());
+            self.stagger.set(self.rng.fraction().sqrt());
         }
         self.leader_holds_lease.set(holds_lease);
     }
@@ -265,8 +265,8 @@
         let is_fit =
             |follower: &Follower| follower.leader_score > 0.0 && follower.leader_score >= least;
         let fit = followers.iter().filter(|(_, follower)| is_here(follower) && is_fit(follower));
-        let drawn = fit
-            .map(|(vm, follower)| (follower.leader_score, self.chance.number(), vm, follower.peer));
+        let drawn =
+            fit.map(|(vm, follower)| (follower.leader_score, self.rng.number(), vm, follower.peer));
         let strongest = drawn.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
         Some((strongest.2.clone(), strongest.3))
     }
--- a/crates/sillbank_gateway/src/lib.rs
+++ b/crates/sillbank_gateway/src/lib.rs
@@ -15,7 +15,7 @@
 //!   the store.
 //! - [`pushback`] applies the limits and pauses that endpoints ask for, [`rate_leases`] divides
 //!   limits among VMs.
-//! - [`revision`] orders states of the store, also across restores from a backup.
+//! - [`revision`] orders states of the store, also across restores from a copy.
 //! - [`retry_budget`] decides whether a request may be sent again.
 //! - [`load`] sheds requests by priority when not all fit.
 //! - [`feed`] exchanges updates between VMs, [`hall`] tracks the leader and its followers,
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -111,7 +111,7 @@
         tracing::warn!("program: Names and addresses change only on restart.");
     }
     gateway.platform.set_key_revocation(new.key_revocation);
-    gateway.kept.set_bound(new.buffer_limit_bytes());
+    gateway.memory_budget.set_bound(new.buffer_limit_bytes());
     *gateway.settings.borrow_mut() = Rc::new(new);
 }
 
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -173,7 +173,7 @@
     /// Which mechanisms are enabled.
     pub mechanisms: Mechanisms,
     /// Source of the random part of costs.
-    pub chance: &'a Chance,
+    pub rng: &'a Chance,
     /// Current time.
     pub now: Instant,
 }
@@ -273,7 +273,7 @@
     record: &EndpointRecord,
     newest_incarnation: Option<BornMs>,
 ) -> Option<Candidate> {
-    let RoutingContext { hall, endpoint_tracker, mechanisms, chance, now, .. } = context;
+    let RoutingContext { hall, endpoint_tracker, mechanisms, rng, now, .. } = context;
     let figures = request.figures;
     let read = |reported: ReportedEngine<'_>| {
         may_be_current(reported.state.born_ms, newest_incarnation)
@@ -290,7 +290,7 @@
     let factor = kind.map_or(1.0, |kind| kind.step_factor);
     let busy = 1.0 + f64::from(endpoint_tracker.in_flight(&record.id)) / DOUBLING_REQUESTS;
     let layer_ms = figures.step_ms / f64::from(figures.layers.max(1));
-    let jitter = 1.0 + COST_JITTER * chance.fraction();
+    let jitter = 1.0 + COST_JITTER * rng.fraction();
     let unreported = unreported_load(context, request, record, &reported);
     let capacity = kind.and_then(|kind| kv_capacity(figures, kind, layers.len()));
     let room = capacity.map(|capacity| KvUsage::new(capacity, reported.kv_share, unreported.kv));
--- a/crates/sillbank_gateway/src/placement/leadership.rs
+++ b/crates/sillbank_gateway/src/placement/leadership.rs
@@ -50,7 +50,7 @@
     lease: Lease<Revision>,
     /// Era of the store at the last check of the lease.
     era: Option<Era>,
-    chance: Chance,
+    rng: Chance,
     name: String,
     /// Address of the leader recorded in the store at the start. The lease itself takes precedence.
     recorded_leader: Option<SocketAddr>,
@@ -73,7 +73,7 @@
             gateway: gateway.clone(),
             lease: Lease::new(candidate).reclaiming_own(),
             era: gateway.store.newest_era(),
-            chance: gateway.chance.clone(),
+            rng: gateway.rng.clone(),
             name: lease_name(&settings.hall),
             recorded_leader: None,
             next_read_at: Instant::now(),
@@ -104,7 +104,7 @@
             self.hand_over(vm, peer).await;
             return;
         }
-        let mut write = self.lease.on_tick(moment(), self.chance.number());
+        let mut write = self.lease.on_tick(moment(), self.rng.number());
         if write.is_none() && self.lease.needs_read() && self.read_is_due(now) {
             write = self.read().await;
         }
@@ -115,7 +115,7 @@
         self.publish_leader();
     }
 
-    /// Detects a restore of the store from a backup, which may have lost writes of the lease. The
+    /// Detects a restore of the store from a copy, which may have lost writes of the lease. The
     /// first era seen is no restore.
     fn check_era(&mut self) {
         let era = self.gateway.store.newest_era();
@@ -140,9 +140,7 @@
             // The previous process of this VM held the lease and may take it again at once.
             Ok(Some(record)) if record.peer == own => {}
             // Released or never held: the VMs of the hall read it one after the other.
-            Ok(_) => {
-                self.next_read_at = Instant::now() + MIN_STAGGER.mul_f64(self.chance.fraction())
-            }
+            Ok(_) => self.next_read_at = Instant::now() + MIN_STAGGER.mul_f64(self.rng.fraction()),
             Err(error) => tracing::debug!(%error, "lease: The recorded leader could not be read."),
         }
     }
@@ -154,12 +152,12 @@
         let max_stagger = (STAGGER_PER_VM * hall.max_hall_vms()).max(MIN_STAGGER);
         // A VM that is not fit to lead comes after all others.
         let before = if self.gateway.leader_score() > 0.0 { Duration::ZERO } else { max_stagger };
-        self.stagger = before + max_stagger.mul_f64(self.chance.fraction());
+        self.stagger = before + max_stagger.mul_f64(self.rng.fraction());
         match self.gateway.store.read_lease(&self.name).await {
             Ok(read) => {
                 self.next_read_at = Instant::now() + LEASE_READ_INTERVAL;
                 self.check_era();
-                self.lease.on_read(moment(), read, self.chance.number())
+                self.lease.on_read(moment(), read, self.rng.number())
             }
             Err(error) => {
                 self.next_read_at = Instant::now() + self.pause_after_failure();
@@ -206,7 +204,7 @@
     }
 
     async fn hand_over(&mut self, vm: VmId, peer: SocketAddr) {
-        let write = self.lease.hand_over(moment(), self.chance.number(), vm.clone(), peer);
+        let write = self.lease.hand_over(moment(), self.rng.number(), vm.clone(), peer);
         let Some(write) = write else { return };
         let end = self.gateway.store.write_lease(&self.name, &write).await;
         self.lease.on_write_outcome(moment(), end);
@@ -226,7 +224,7 @@
             self.hand_over(vm, peer).await;
             return;
         }
-        if let Some(write) = self.lease.release(moment(), self.chance.number(), None) {
+        if let Some(write) = self.lease.release(moment(), self.rng.number(), None) {
             let end = self.gateway.store.write_lease(&self.name, &write).await;
             self.lease.on_write_outcome(moment(), end);
         }
--- a/crates/sillbank_gateway/src/platform_view.rs
+++ b/crates/sillbank_gateway/src/platform_view.rs
@@ -42,7 +42,7 @@
     catalog_at: Cell<Revision>,
     /// Newest known era of the store.
     era: Cell<Option<Era>>,
-    /// When a restore of the store from a backup was last detected.
+    /// When a restore of the store from a copy was last detected.
     restored_at: Cell<Option<Instant>>,
     endpoints_at: Cell<Revision>,
     change_count: Cell<u64>,
@@ -131,7 +131,7 @@
     }
 
     /// Records a confirmation by the store itself, as [`Self::confirm_catalog`] does. It is ignored
-    /// shortly after a restore from a backup, as the operator may not have written the newest
+    /// shortly after a restore from a copy, as the operator may not have written the newest
     /// configuration again yet.
     pub fn confirm_catalog_by_store(&self, confirmed: Instant, at: Revision) {
         self.check_era(at);
@@ -144,7 +144,7 @@
         self.confirm_catalog(confirmed, at);
     }
 
-    /// Detects a restore of the store from a backup. The first known era is no restore.
+    /// Detects a restore of the store from a copy. The first known era is no restore.
     fn check_era(&self, at: Revision) {
         let before = self.era.get();
         if before.is_some_and(|before| at.era > before) {
--- a/crates/sillbank_gateway/src/plugins.rs
+++ b/crates/sillbank_gateway/src/plugins.rs
@@ -87,7 +87,7 @@
             max_head_bytes: MAX_HEAD_BYTES,
             max_connections: settings.max_caller_connections(),
         };
-        let kept = gateway.kept.clone();
+        let kept = gateway.memory_budget.clone();
         let handler = Rc::new(CallerHandler { gateway });
         app.spawn(serve_until(app.executor(), self.listener, limits, handler, self.stop, kept));
     }
@@ -138,8 +138,8 @@
         "program: Started."
     );
     let engine_calls = HttpClient::new(executor.clone(), MAX_ENGINE_REPLY_BYTES);
-    let chance = Chance::from_entropy();
-    let gateway = Gateway::<W, S>::new(settings, store, engine_calls, executor.clone(), chance);
+    let rng = Chance::from_entropy();
+    let gateway = Gateway::<W, S>::new(settings, store, engine_calls, executor.clone(), rng);
     let stopper = Stopper::default();
     let app = App::new(executor, Rc::new(gateway))
         .add_plugin(FollowPlugin)
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -34,7 +34,7 @@
         }
         let incarnation =
             self.platform.endpoints(|directory| directory.newest_incarnation(endpoint));
-        let (draw, now) = (self.chance.fraction(), Instant::now());
+        let (draw, now) = (self.rng.fraction(), Instant::now());
         let events =
             self.pushback.borrow_mut().on_answer(endpoint, incarnation, pushback, draw, now);
         if !events.is_empty() {
@@ -58,7 +58,7 @@
             })
         };
         let limits: Vec<LimitUpdate> = limits.iter().filter(is_current).cloned().collect();
-        let (draw, now) = (|| self.chance.fraction(), Instant::now());
+        let (draw, now) = (|| self.rng.fraction(), Instant::now());
         let events = self.pushback.borrow_mut().on_reported(&limits, draw, now);
         self.on_pushback_events(&events, from);
     }
--- a/crates/sillbank_gateway/src/revision.rs
+++ b/crates/sillbank_gateway/src/revision.rs
@@ -1,13 +1,13 @@
-//! Revisions of the store, ordered across restores of the store from a backup.
+//! Revisions of the store, ordered across restores of the store from a copy.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Number of the store's history. It rises with each restore from a backup; 0 if the store has
+/// Number of the store's history. It rises with each restore from a copy; 0 if the store has
 /// none.
 pub type Era = u64;
 
-/// State of the store. Each change increments the number and each restore from a backup the era. A
+/// State of the store. Each change increments the number and each restore from a copy the era. A
 /// restored store reuses numbers, so a number is only meaningful within its era.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
--- a/crates/sillbank_gateway/src/store.rs
+++ b/crates/sillbank_gateway/src/store.rs
@@ -32,7 +32,7 @@
     /// The revision to continue from is too old.
     #[error("the store's history does not reach back; read everything again")]
     HistoryGone,
-    /// The store was restored from a backup; earlier reads belong to another history.
+    /// The store was restored from a copy; earlier reads belong to another history.
     #[error("the store was restored from a copy; read everything again")]
     Restored,
     /// The answer cannot be parsed.
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -153,7 +153,7 @@
                 let reason = format!("the endpoint failed with status {}", status.as_u16());
                 return failed(None, SendFailureKind::MayHaveRun, reason);
             }
-            match buffer_reply(reply, MAX_FAILURE_BYTES, &gateway.kept).await {
+            match buffer_reply(reply, MAX_FAILURE_BYTES, &gateway.memory_budget).await {
                 Ok(buffered) => {
                     gateway.keep_channel(&endpoint, connection, &buffered.head);
                     AttemptResult::Replied(UpstreamReply::Failure(buffered.reply))
--- a/crates/sillbank_gateway/src/streams/open.rs
+++ b/crates/sillbank_gateway/src/streams/open.rs
@@ -111,7 +111,7 @@
         route: &job.route,
         priority: job.priority(),
         left: job.head.time_left,
-        draw: gateway.chance.fraction(),
+        draw: gateway.rng.fraction(),
     };
     let admitted = gateway.load.admit(gateway.routing_context(Instant::now()), ask);
     let metrics = &gateway.metrics.shedding;
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -235,7 +235,7 @@
     /// Charges the bytes of an incomplete event to the VM's memory budget.
     fn reserve_partial_event(&mut self, bytes: usize) -> Result<(), String> {
         let Some(partial_event_memory) = &mut self.partial_event_memory else {
-            self.partial_event_memory = self.gateway.kept.try_keep(bytes);
+            self.partial_event_memory = self.gateway.memory_budget.try_keep(bytes);
             return self.partial_event_memory.as_ref().map(|_| ()).ok_or_else(out_of_memory);
         };
         partial_event_memory.try_resize(bytes).then_some(()).ok_or_else(out_of_memory)
--- a/crates/sillbank_gateway/src/vm_limits/monitor.rs
+++ b/crates/sillbank_gateway/src/vm_limits/monitor.rs
@@ -19,10 +19,10 @@
         smol::Timer::at(due).await;
         let now = Instant::now();
         let reading = VmReading {
-            passed_bytes: gateway.kept.passed_bytes(),
+            passed_bytes: gateway.memory_budget.passed_bytes(),
             requests: gateway.in_progress.get(),
-            buffered_bytes: gateway.kept.kept_bytes(),
-            connections: gateway.kept.connections(),
+            buffered_bytes: gateway.memory_budget.kept_bytes(),
+            connections: gateway.memory_budget.connections(),
             timer_lag: now.saturating_duration_since(due),
         };
         let settings = gateway.settings();
@@ -44,7 +44,7 @@
         let label = LimitLabel { limit: limit.name() };
         gateway.metrics.vm_pressure.get_or_create(&label).set(pressure);
     }
-    gateway.metrics.record_buffered_bytes(&gateway.kept);
+    gateway.metrics.record_buffered_bytes(&gateway.memory_budget);
 }
 
 fn log_state<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, reading: &VmReading) {
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -91,8 +91,8 @@
     reported: Option<EngineState>,
 ) -> Option<StreamForecast> {
     let now = Instant::now();
-    let chance = Chance::with_seed(SEED);
-    let (platform, hall) = (PlatformView::new(Duration::from_secs(5)), Hall::new(chance.clone()));
+    let rng = Chance::with_seed(SEED);
+    let (platform, hall) = (PlatformView::new(Duration::from_secs(5)), Hall::new(rng.clone()));
     platform.apply_listing(now, Snapshot { at: Revision::new(1, 1), value: vec![record] });
     if let Some(state) = reported {
         let leader = "10.0.0.1:7000".parse().expect("valid address");
@@ -116,7 +116,7 @@
         endpoint_tracker: &endpoint_tracker,
         pushback: &RefCell::default(),
         mechanisms,
-        chance: &chance,
+        rng: &rng,
         now,
     };
     let figures = service.engine.as_ref().expect("the service has engine figures");
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -74,7 +74,7 @@
 struct Vm {
     platform: PlatformView,
     hall: Hall,
-    chance: Chance,
+    rng: Chance,
     endpoint_tracker: EndpointTracker,
     pushback: RefCell<PushbackTracker>,
     load: FleetLoad,
@@ -93,7 +93,7 @@
         Self {
             platform,
             hall: Hall::new(Chance::with_seed(1)),
-            chance: Chance::with_seed(1),
+            rng: Chance::with_seed(1),
             endpoint_tracker: EndpointTracker::default(),
             pushback: RefCell::default(),
             load: FleetLoad::default(),
@@ -107,14 +107,14 @@
         let (platform, hall, endpoint_tracker) =
             (&self.platform, &self.hall, &self.endpoint_tracker);
         let mechanisms = Mechanisms::default();
-        let (chance, now) = (&self.chance, self.start + after);
+        let (rng, now) = (&self.rng, self.start + after);
         RoutingContext {
             platform,
             hall,
             endpoint_tracker,
             pushback: &self.pushback,
             mechanisms,
-            chance,
+            rng,
             now,
         }
     }
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -68,8 +68,8 @@
 }
 
 fn chosen_by(seed: u64, records: &[EndpointRecord], engines: Vec<EngineState>) -> Vec<EndpointId> {
-    let chance = Chance::with_seed(seed);
-    let path = path_with_load(records, engines, &Rc::default(), &chance).expect("there is one");
+    let rng = Chance::with_seed(seed);
+    let path = path_with_load(records, engines, &Rc::default(), &rng).expect("there is one");
     path.parts().iter().map(|part| part.endpoint.clone()).collect()
 }
 
@@ -91,10 +91,10 @@
     records: &[EndpointRecord],
     engines: Vec<EngineState>,
     endpoint_tracker: &Rc<EndpointTracker>,
-    chance: &Chance,
+    rng: &Chance,
 ) -> Option<LayerPath> {
     let now = Instant::now();
-    let vm = Vm { endpoint_tracker: endpoint_tracker.clone(), ..Vm::new(chance) };
+    let vm = Vm { endpoint_tracker: endpoint_tracker.clone(), ..Vm::new(rng) };
     vm.set_endpoints(records);
     vm.hall.reports.insert(now, hall_report(HOME, engines));
     path_for(&service(), vm.routing_context(now))
@@ -106,18 +106,18 @@
     hall: Hall,
     endpoint_tracker: Rc<EndpointTracker>,
     pushback: RefCell<PushbackTracker>,
-    chance: Chance,
+    rng: Chance,
 }
 
 impl Vm {
     /// A VM that knows nothing yet.
-    fn new(chance: &Chance) -> Self {
+    fn new(rng: &Chance) -> Self {
         Self {
             platform: PlatformView::new(Duration::from_secs(5)),
-            hall: Hall::new(chance.clone()),
+            hall: Hall::new(rng.clone()),
             endpoint_tracker: Rc::default(),
             pushback: RefCell::default(),
-            chance: chance.clone(),
+            rng: rng.clone(),
         }
     }
 
@@ -129,20 +129,20 @@
     fn routing_context(&self, now: Instant) -> RoutingContext<'_> {
         let (platform, hall, endpoint_tracker) =
             (&self.platform, &self.hall, &*self.endpoint_tracker);
-        let (pushback, chance) = (&self.pushback, &self.chance);
+        let (pushback, rng) = (&self.pushback, &self.rng);
         RoutingContext {
             platform,
             hall,
             endpoint_tracker,
             pushback,
             mechanisms: Mechanisms::default(),
-            chance,
+            rng,
             now,
         }
     }
 }
 
-fn chance() -> Chance {
+fn rng() -> Chance {
     Chance::with_seed(SEEDS.start)
 }
 
@@ -252,7 +252,7 @@
     let mut full = idle(&records[1]);
     full.kv_permille = 960;
 
-    let path = path_with_load(&records, vec![idle(&records[0]), full], &Rc::default(), &chance());
+    let path = path_with_load(&records, vec![idle(&records[0]), full], &Rc::default(), &rng());
 
     assert_eq!(path, None);
 }
@@ -268,9 +268,9 @@
 
     // Act
     let in_flight = endpoint_tracker.start(vec![whole], Instant::now());
-    let during = path_with_load(&records, engines(), &endpoint_tracker, &chance());
+    let during = path_with_load(&records, engines(), &endpoint_tracker, &rng());
     drop(in_flight);
-    let afterwards = path_with_load(&records, engines(), &endpoint_tracker, &chance());
+    let afterwards = path_with_load(&records, engines(), &endpoint_tracker, &rng());
 
     // Assert
     assert_eq!(during, None);
@@ -284,7 +284,7 @@
     let mut full = idle(&records[0]);
     full.running = SLOTS;
 
-    let path = path_with_load(&records, vec![full, idle(&records[1])], &Rc::default(), &chance());
+    let path = path_with_load(&records, vec![full, idle(&records[1])], &Rc::default(), &rng());
 
     assert_eq!(path, None);
 }
@@ -295,7 +295,7 @@
     // Arrange
     let records = [record("first", "slow", 0, 10), record("last", "slow", 10, 20)];
     let now = Instant::now();
-    let vm = Vm::new(&chance());
+    let vm = Vm::new(&rng());
     vm.set_endpoints(&records);
     vm.hall.reports.insert(now, hall_report(HOME, records.iter().map(idle).collect()));
     let context = vm.routing_context(now);
@@ -323,7 +323,7 @@
 /// much of their KV cache.
 fn path_with_other_hall(local_permille: u16, remote_permille: u16) -> Option<LayerPath> {
     let now = Instant::now();
-    let vm = Vm::new(&chance());
+    let vm = Vm::new(&rng());
     let local = record("home", "slow", 0, LAYERS);
     let remote = EndpointRecord { hall: "b".to_owned(), ..record("other", "quick", 0, LAYERS) };
     let full = |record: &EndpointRecord, kv_permille| {
@@ -397,7 +397,7 @@
         record("far", "slow", 0, 10),
         record("last", "quick", 10, LAYERS),
     ];
-    let vm = Vm::new(&chance());
+    let vm = Vm::new(&rng());
     vm.set_endpoints(&records);
     vm.hall.reports.insert(now, hall_report(HOME, records.iter().map(idle).collect()));
     let rest = Pushback {
--- a/crates/sillbank_gateway/tests/restored_store.rs
+++ b/crates/sillbank_gateway/tests/restored_store.rs
@@ -1,4 +1,4 @@
-//! A VM's view of the platform after the store was restored from a backup, as learnt from the store
+//! A VM's view of the platform after the store was restored from a copy, as learnt from the store
 //! and from other VMs.
 
 use arbitrary::Unstructured;
@@ -14,8 +14,8 @@
 const REVOCATION: Duration = Duration::from_secs(5);
 /// Revision of the list that a VM has before the restore.
 const KNOWN: Revision = Revision { era: 1, number: 162 };
-/// Revision of the backup.
-const BACKUP: Revision = Revision { era: 2, number: 136 };
+/// Revision of the copy.
+const COPY: Revision = Revision { era: 2, number: 136 };
 
 fn record(id: &str, standing: Standing) -> EndpointRecord {
     EndpointRecord {
@@ -68,7 +68,7 @@
     let now = Instant::now();
     let view = view(now);
 
-    view.apply_listing(now, Snapshot { at: BACKUP, value: ready() });
+    view.apply_listing(now, Snapshot { at: COPY, value: ready() });
     let changes = Snapshot { at: Revision::new(2, 146), value: vec![leaving("a")] };
     view.apply_changes(now, changes);
 
@@ -84,10 +84,10 @@
     let (view, mut replication) = (view(now), Replication::default());
     let records = vec![record("a", Standing::Leaving), record("b", Standing::Ready)];
 
-    view.apply_difference(&mut replication, BACKUP, difference(records), true);
+    view.apply_difference(&mut replication, COPY, difference(records), true);
 
     assert!(!is_usable(&view, "a"));
-    assert_eq!(view.endpoints_at(), BACKUP);
+    assert_eq!(view.endpoints_at(), COPY);
 }
 
 /// An earlier era is outdated whatever its change number.
@@ -95,23 +95,23 @@
 fn a_leader_of_an_earlier_era_is_ignored_whatever_its_number() {
     let now = Instant::now();
     let (view, mut replication) = (view(now), Replication::default());
-    view.apply_listing(now, Snapshot { at: BACKUP, value: ready() });
-    view.apply_changes(now, Snapshot { at: BACKUP, value: vec![leaving("a")] });
+    view.apply_listing(now, Snapshot { at: COPY, value: ready() });
+    view.apply_changes(now, Snapshot { at: COPY, value: vec![leaving("a")] });
 
     view.apply_difference(&mut replication, Revision::new(1, 900), difference(ready()), true);
 
     assert!(!is_usable(&view, "a"));
-    assert_eq!(view.endpoints_at(), BACKUP);
+    assert_eq!(view.endpoints_at(), COPY);
 }
 
 /// A restored entry, from the store or a leader, does not undo that an endpoint is leaving.
 #[test]
-fn a_known_leave_outlasts_the_backup_and_an_outdated_leader() {
+fn a_known_leave_outlasts_the_copy_and_an_outdated_leader() {
     let now = Instant::now();
     let (view, mut replication) = (view(now), Replication::default());
     view.apply_changes(now, Snapshot { at: KNOWN, value: vec![leaving("a")] });
 
-    view.apply_listing(now, Snapshot { at: BACKUP, value: ready() });
+    view.apply_listing(now, Snapshot { at: COPY, value: ready() });
     let usable_after_restore = is_usable(&view, "a");
     view.apply_difference(&mut replication, Revision::new(2, 140), difference(ready()), true);
 
@@ -122,21 +122,21 @@
 
 /// Right after a restore the store does not confirm a configuration, as it may lack the newest.
 #[test]
-fn a_backup_confirms_no_configuration_until_the_operator_has_written_again() {
+fn a_copy_confirms_no_configuration_until_the_operator_has_written_again() {
     let now = Instant::now();
     let view = view(now);
     let settled = Instant::now() + RESTORE_SETTLE_TIME;
 
-    view.confirm_catalog_by_store(now + Duration::from_millis(500), BACKUP);
+    view.confirm_catalog_by_store(now + Duration::from_millis(500), COPY);
     let noticed = Instant::now();
     let early = view.catalog_confirmed();
-    view.confirm_catalog_by_store(settled - Duration::from_millis(1), BACKUP);
+    view.confirm_catalog_by_store(settled - Duration::from_millis(1), COPY);
     let still_early = view.catalog_confirmed();
-    view.confirm_catalog_by_store(noticed + RESTORE_SETTLE_TIME, BACKUP);
+    view.confirm_catalog_by_store(noticed + RESTORE_SETTLE_TIME, COPY);
 
     assert_eq!((early, still_early), (Some(now), Some(now)));
     assert_eq!(view.catalog_confirmed(), Some(noticed + RESTORE_SETTLE_TIME));
-    assert_eq!(view.catalog_at(), BACKUP);
+    assert_eq!(view.catalog_at(), COPY);
 }
 
 /// The first known era says nothing about a restore.
@@ -145,7 +145,7 @@
     let now = Instant::now();
     let view = PlatformView::new(REVOCATION);
 
-    view.confirm_catalog_by_store(now, BACKUP);
+    view.confirm_catalog_by_store(now, COPY);
 
     assert_eq!(view.catalog_confirmed(), Some(now));
 }
@@ -190,7 +190,7 @@
 }
 
 /// States of a store that is restored several times. In each era the endpoint leaves at some state;
-/// backups may predate that.
+/// copies may predate that.
 fn states(u: &mut Unstructured<'_>) -> arbitrary::Result<Vec<Listed>> {
     let mut states = vec![Listed { at: KNOWN, has_left: false }];
     for era in 1..=u.int_in_range::<Era>(1..=4)? {
--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -74,7 +74,7 @@
     vms: Vec<Vm>,
     vms_a_hall: usize,
     freshness: Freshness,
-    chance: Chance,
+    rng: Chance,
     began: Instant,
     now: Instant,
     calls_when_settled: Vec<u64>,
@@ -95,13 +95,13 @@
 
 impl Fleet {
     /// Creates `halls` halls of `vms` VMs each, all just confirmed; the first VM of each leads. All
-    /// of them draw random numbers from `chance`.
-    pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, chance: Chance) -> Self {
+    /// of them draw random numbers from `rng`.
+    pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, rng: Chance) -> Self {
         let began = Instant::now();
         let new = |at: usize| {
             let position =
                 VmPosition { hall: at / vms, number: at % vms, is_leader: at.is_multiple_of(vms) };
-            let hall = Hall::new(chance.clone());
+            let hall = Hall::new(rng.clone());
             hall.record_hall_vms(vms as u32);
             match position.is_leader {
                 true => hall.acting_fence.set(Some(Revision::new(1, 1))),
@@ -129,7 +129,7 @@
             vms: vms_of_all,
             vms_a_hall: vms,
             freshness,
-            chance,
+            rng,
             began,
             now: began,
             calls_when_settled,
@@ -255,7 +255,7 @@
                     vm.following = Following::Resting(now);
                 } else {
                     vm.following =
-                        Following::Pausing(vm.backoff.next_pause(now, self.chance.fraction()));
+                        Following::Pausing(vm.backoff.next_pause(now, self.rng.fraction()));
                 }
             }
             Following::Pausing(pause) => {
