--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -77,13 +77,13 @@
     gateway: &Gateway<W, S>,
     request: &FeedRequest,
 ) -> FeedReply {
-    let began = Instant::now();
+    let received_at = Instant::now();
     let platform = &gateway.platform;
     let cursor = request.cursor.filter(|cursor| cursor.incarnation == gateway.incarnation);
     if request.is_source_request {
-        gateway.hall.on_source_request(began);
+        gateway.hall.on_source_request(received_at);
     }
-    gateway.on_reported_demand(request, began);
+    gateway.on_reported_demand(request, received_at);
     let teller = match request.hall == gateway.settings().hall {
         true => UpdateSource::Member,
         false => UpdateSource::Leader,
@@ -123,7 +123,7 @@
         holds_lease: gateway.hall.lease_fence.get().is_some(),
         follows_store: gateway.store_is_reached() && !gateway.upstream_is_fresh(now),
         hall_vms: gateway.hall.vm_count(now, gateway.leader_score()),
-        held_ms: began.elapsed().as_millis() as u64,
+        held_ms: received_at.elapsed().as_millis() as u64,
         confirmed_age_ms: platform.stamp(now).catalog_age_ms,
         confirmed_at: platform.catalog_at(),
         catalog: catalog.map(|parts| (*parts).clone()),
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -119,7 +119,7 @@
     store_reached: Cell<bool>,
     /// Retry budgets by service.
     pub(crate) budgets: RefCell<HashMap<ServiceId, RetryBudget>>,
-    began: Instant,
+    started_at: Instant,
     wire: PhantomData<W>,
 }
 
@@ -134,7 +134,7 @@
         rng: Chance,
     ) -> Self {
         let metrics = Metrics::default();
-        let (incarnation, began) = (rng.number(), Instant::now());
+        let (incarnation, started_at) = (rng.number(), Instant::now());
         Self {
             platform: PlatformView::new(settings.key_revocation),
             memory_budget: KeptBytes::new(settings.buffer_limit_bytes()),
@@ -154,7 +154,7 @@
             forecasts: Forecasts::default(),
             stream_activity: Rc::default(),
             load: FleetLoad::default(),
-            demand: DemandTracker::new(incarnation, began),
+            demand: DemandTracker::new(incarnation, started_at),
             connection_pool: ConnectionPool::new(executor.clone()),
             engine_calls,
             decisions: DecisionLog::default(),
@@ -166,7 +166,7 @@
             in_progress: Cell::new(0),
             store_reached: Cell::new(true),
             budgets: RefCell::default(),
-            began,
+            started_at,
             wire: PhantomData,
         }
     }
@@ -223,13 +223,13 @@
     }
 
     /// When the process started.
-    pub fn began(&self) -> Instant {
-        self.began
+    pub fn started_at(&self) -> Instant {
+        self.started_at
     }
 
     /// Time since the process started.
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.began)
+        now.saturating_duration_since(self.started_at)
     }
 
     /// Whether the quarantine list was loaded, or the startup wait for it is over.
@@ -331,12 +331,18 @@
         self.store_reached.get()
     }
 
-    /// Applies evidence of an endpoint's health from an exchange that began at `began`, and logs
-    /// when the endpoint is ejected or used again. Evidence from before the endpoint's last restart
-    /// is ignored.
-    pub fn on_evidence(&self, endpoint: &str, evidence: Evidence, began: Instant, reason: &str) {
+    /// Applies evidence of an endpoint's health from an exchange that started at `started_at`, and
+    /// logs when the endpoint is ejected or used again. Evidence from before the endpoint's last
+    /// restart is ignored.
+    pub fn on_evidence(
+        &self,
+        endpoint: &str,
+        evidence: Evidence,
+        started_at: Instant,
+        reason: &str,
+    ) {
         let now = Instant::now();
-        if self.endpoint_tracker.restarted_since(endpoint, began) {
+        if self.endpoint_tracker.restarted_since(endpoint, started_at) {
             return;
         }
         if !self.endpoint_tracker.on_evidence(endpoint, evidence, now) {
--- a/crates/sillbank_gateway/src/hall.rs
+++ b/crates/sillbank_gateway/src/hall.rs
@@ -49,7 +49,7 @@
 /// A VM of this hall that follows this leader.
 #[derive(Debug, Clone, Copy)]
 struct Follower {
-    at: Instant,
+    last_request: Instant,
     peer: SocketAddr,
     leader_score: LeaderScore,
     /// When its configuration was last confirmed, as it reported on arrival of its request. Only a
@@ -214,7 +214,7 @@
         now: Instant,
     ) -> u32 {
         let confirmed = confirmed_age.and_then(|age| now.checked_sub(age));
-        let follower = Follower { at: now, peer, leader_score, confirmed };
+        let follower = Follower { last_request: now, peer, leader_score, confirmed };
         if self.followers.borrow_mut().insert(vm.to_owned(), follower).is_none() {
             tracing::info!(vm, %peer, "feed: A VM asks this leader.");
         }
@@ -224,8 +224,9 @@
     /// Followers with a recent request, and this VM.
     pub fn live_vms(&self, now: Instant) -> u32 {
         let mut followers = self.followers.borrow_mut();
-        followers
-            .retain(|_, follower| now.saturating_duration_since(follower.at) < FOLLOWER_TIMEOUT);
+        followers.retain(|_, follower| {
+            now.saturating_duration_since(follower.last_request) < FOLLOWER_TIMEOUT
+        });
         followers.len() as u32 + 1
     }
 
@@ -260,8 +261,9 @@
     /// Among equals one is drawn at random.
     pub fn best_follower(&self, now: Instant, least: LeaderScore) -> Option<(VmId, SocketAddr)> {
         let followers = self.followers.borrow();
-        let is_here =
-            |follower: &Follower| now.saturating_duration_since(follower.at) < LEADER_TIMEOUT;
+        let is_here = |follower: &Follower| {
+            now.saturating_duration_since(follower.last_request) < LEADER_TIMEOUT
+        };
         let is_fit =
             |follower: &Follower| follower.leader_score > 0.0 && follower.leader_score >= least;
         let fit = followers.iter().filter(|(_, follower)| is_here(follower) && is_fit(follower));
@@ -274,8 +276,9 @@
     /// The follower whose configuration was confirmed last, if that was after `since`.
     pub fn freshest_follower(&self, now: Instant, since: Instant) -> Option<SocketAddr> {
         let followers = self.followers.borrow();
-        let is_here =
-            |follower: &&Follower| now.saturating_duration_since(follower.at) < LEADER_TIMEOUT;
+        let is_here = |follower: &&Follower| {
+            now.saturating_duration_since(follower.last_request) < LEADER_TIMEOUT
+        };
         let fresher =
             followers.values().filter(is_here).filter(|follower| follower.confirmed > Some(since));
         fresher
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -204,13 +204,13 @@
     context.platform.endpoints(|directory| {
         for record in directory.usable_of(&service.name) {
             let newest_incarnation = directory.newest_incarnation(&record.id);
-            if let Some(room) = engine_capacity(context, record, newest_incarnation, figures) {
-                by_hall.entry(record.hall.clone()).or_default().push(room);
+            if let Some(capacity) = engine_capacity(context, record, newest_incarnation, figures) {
+                by_hall.entry(record.hall.clone()).or_default().push(capacity);
             }
         }
     });
-    let rooms = by_hall.values().map(|engines| HallCapacity::of(engines, figures.layers));
-    rooms.fold(HallCapacity::default(), HallCapacity::plus)
+    let capacities = by_hall.values().map(|engines| HallCapacity::of(engines, figures.layers));
+    capacities.fold(HallCapacity::default(), HallCapacity::plus)
 }
 
 /// Capacity of an engine; `None` if its leader does not report it or reports an earlier
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -231,7 +231,7 @@
     /// Its layers and costs.
     holder: LayerHolder,
     /// Its KV cache; `None` if the service's figures do not give its size.
-    room: Option<KvUsage>,
+    kv_usage: Option<KvUsage>,
     /// Used share of its slots if paths can start here, else 0.
     slots_share: f64,
 }
@@ -239,7 +239,8 @@
 impl Candidate {
     fn fits(&self, demand: RequestSize) -> bool {
         let more = demand.kv_tokens() * self.holder.layers.len() as f64;
-        let has_kv = self.room.is_none_or(|room| room.fits(more, NEW_REQUEST_FILL_LIMIT));
+        let has_kv =
+            self.kv_usage.is_none_or(|kv_usage| kv_usage.fits(more, NEW_REQUEST_FILL_LIMIT));
         has_kv && self.slots_share < NEW_REQUEST_FILL_LIMIT
     }
 }
@@ -293,7 +294,8 @@
     let jitter = 1.0 + COST_JITTER * rng.fraction();
     let unreported = unreported_load(context, request, record, &reported);
     let capacity = kind.and_then(|kind| kv_capacity(figures, kind, layers.len()));
-    let room = capacity.map(|capacity| KvUsage::new(capacity, reported.kv_share, unreported.kv));
+    let kv_usage =
+        capacity.map(|capacity| KvUsage::new(capacity, reported.kv_share, unreported.kv));
     let slots_share = match layers.first {
         0 => (reported.requests + unreported.requests) / f64::from(record.slots.max(1)),
         _ => 0.0,
@@ -306,7 +308,7 @@
         )
     });
     // The scarcest resource determines the cost.
-    let kv_share = room.map_or(reported.kv_share, |room| room.used_share());
+    let kv_share = kv_usage.map_or(reported.kv_share, |kv_usage| kv_usage.used_share());
     let used_share = kv_share.max(slots_share).max(time);
     let utilisation_ms = if mechanisms.crowd_cost { utilisation_cost_ms(used_share) } else { 0.0 };
     let health_ms = match mechanisms.health_cost {
@@ -321,7 +323,7 @@
         use_cost_ms: PART_COST_MS + utilisation_ms + health_ms,
         layer_cost_ms: layer_ms * factor * reported.pace * busy * jitter,
     };
-    Some(Candidate { holder, room, slots_share })
+    Some(Candidate { holder, kv_usage, slots_share })
 }
 
 /// Load that all VMs together sent to an engine since its last report.
--- a/crates/sillbank_gateway/src/placement/reports.rs
+++ b/crates/sillbank_gateway/src/placement/reports.rs
@@ -110,7 +110,7 @@
 /// A round in which all engines of a hall are polled.
 #[derive(Debug)]
 struct ReportRound {
-    began: Instant,
+    started_at: Instant,
     found_engines: bool,
 }
 
@@ -122,13 +122,13 @@
         let Some(last) = &self.last else {
             return true;
         };
-        let is_over = now.saturating_duration_since(last.began) >= interval;
+        let is_over = now.saturating_duration_since(last.started_at) >= interval;
         is_over || (!last.found_engines && has_engines)
     }
 
     /// Records the start of a round.
     pub fn on_round_started(&mut self, now: Instant, found_engines: bool) {
-        self.last = Some(ReportRound { began: now, found_engines });
+        self.last = Some(ReportRound { started_at: now, found_engines });
     }
 }
 
@@ -137,14 +137,14 @@
     gateway: Rc<Gateway<W, S>>,
     address: SocketAddr,
 ) -> ReportOutcome {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let reply = gateway.engine_calls.call(address, W::report_call(), ENGINE_CALL_LIMIT).await;
     let reply = match reply {
         Ok(reply) => reply,
         Err(error) => {
             tracing::info!(endpoint = %address, %error, "endpoint: The engine sent no report.");
-            let is_refusal =
-                matches!(error, CallError::NotSent { .. }) && began.elapsed() < ENGINE_CALL_LIMIT;
+            let is_refusal = matches!(error, CallError::NotSent { .. })
+                && started_at.elapsed() < ENGINE_CALL_LIMIT;
             return if is_refusal { ReportOutcome::Refused } else { ReportOutcome::Missed };
         }
     };
--- a/crates/sillbank_gateway/src/placement/targets.rs
+++ b/crates/sillbank_gateway/src/placement/targets.rs
@@ -261,14 +261,14 @@
         preferred_layers: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
         max_layers: layers_that_fit(&shape, usual * MIN_ENGINE_REQUESTS),
         pace: kind.step_factor,
-        request_capacities: rooms(&shape, usual),
+        request_capacities: request_capacities(&shape, usual),
         held: engine.ordered.or(engine.serves),
         is_busy: engine.order_in_progress || is_changing,
     })
 }
 
 /// Requests of the usual size that fit beside 0, 1, 2 ... layers.
-fn rooms(shape: &MemoryFigures, usual_tokens: f64) -> Vec<f64> {
+fn request_capacities(shape: &MemoryFigures, usual_tokens: f64) -> Vec<f64> {
     let most = layers_that_fit(shape, 0.0);
     (0..=most).map(|held| tokens_that_fit(shape, held) / usual_tokens.max(1.0)).collect()
 }
@@ -278,7 +278,7 @@
     let shape = memory_figures(figures, kind);
     let most_layers = layers_that_fit(&shape, usual_tokens(figures));
     let layer_count_costs =
-        (0..=most_layers).map(|held| room_cost(&shape, held, figures)).collect();
+        (0..=most_layers).map(|held| kv_room_cost(&shape, held, figures)).collect();
     Some(PlanMember {
         endpoint: engine.id.clone(),
         layer_count_costs,
@@ -288,7 +288,7 @@
 }
 
 /// Cost of the KV cache that is left beside `held` layers.
-fn room_cost(shape: &MemoryFigures, held: u16, figures: &EngineFigures) -> f64 {
+fn kv_room_cost(shape: &MemoryFigures, held: u16, figures: &EngineFigures) -> f64 {
     let requests = tokens_that_fit(shape, held) / usual_tokens(figures).max(1.0);
     let costs = KV_ROOM_COSTS.iter().filter(|(least, _)| held > 0 && requests < *least);
     costs.map(|(_, cost)| cost).sum()
--- a/crates/sillbank_gateway/src/retry_budget.rs
+++ b/crates/sillbank_gateway/src/retry_budget.rs
@@ -61,7 +61,7 @@
             budget.set_limits(limits);
             return change(budget, now);
         }
-        let mut budget = RetryBudget::new(limits, self.began());
+        let mut budget = RetryBudget::new(limits, self.started_at());
         let answer = change(&mut budget, now);
         budgets.insert(service.to_owned(), budget);
         answer
--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -75,7 +75,7 @@
     vms_a_hall: usize,
     freshness: Freshness,
     rng: Chance,
-    began: Instant,
+    started_at: Instant,
     now: Instant,
     calls_when_settled: Vec<u64>,
 }
@@ -97,7 +97,7 @@
     /// Creates `halls` halls of `vms` VMs each, all just confirmed; the first VM of each leads. All
     /// of them draw random numbers from `rng`.
     pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, rng: Chance) -> Self {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let new = |at: usize| {
             let position =
                 VmPosition { hall: at / vms, number: at % vms, is_leader: at.is_multiple_of(vms) };
@@ -105,22 +105,22 @@
             hall.record_hall_vms(vms as u32);
             match position.is_leader {
                 true => hall.acting_fence.set(Some(Revision::new(1, 1))),
-                false => hall.on_leader_update(began, Some(began), true),
+                false => hall.on_leader_update(started_at, Some(started_at), true),
             }
             Vm {
                 position,
                 hall,
                 response: StoreResponse::Answer,
-                confirmed: began,
+                confirmed: started_at,
                 store_is_reached: true,
-                following: Following::Resting(began),
+                following: Following::Resting(started_at),
                 relied_on_leader: false,
                 has_failed: false,
                 backoff: Backoff::default(),
                 calls: 0,
-                asked: began,
+                asked: started_at,
                 source: None,
-                other_asked: began,
+                other_asked: started_at,
             }
         };
         let vms_of_all: Vec<Vm> = (0..halls * vms).map(new).collect();
@@ -130,8 +130,8 @@
             vms_a_hall: vms,
             freshness,
             rng,
-            began,
-            now: began,
+            started_at,
+            now: started_at,
             calls_when_settled,
         }
     }
@@ -151,7 +151,7 @@
     /// Runs for `for_ms` and calls `inspect` after each step.
     pub(crate) fn run(&mut self, for_ms: u64, mut inspect: impl FnMut(&Self)) {
         let end = self.now + Duration::from_millis(for_ms);
-        if self.now != self.began {
+        if self.now != self.started_at {
             self.calls_when_settled = self.vms.iter().map(|vm| vm.calls).collect();
         }
         while self.now < end {
