--- a/crates/sillbank_gateway/src/call_tracker.rs
+++ b/crates/sillbank_gateway/src/call_tracker.rs
@@ -16,8 +16,8 @@
     /// Reads or changes what was observed of a service's endpoints.
     pub fn with<T>(&self, service: &str, change: impl FnOnce(&mut CallBalancer) -> T) -> T {
         let mut by_service = self.by_service.borrow_mut();
-        if let Some(times) = by_service.get_mut(service) {
-            return change(times);
+        if let Some(balancer) = by_service.get_mut(service) {
+            return change(balancer);
         }
         change(by_service.entry(service.to_owned()).or_default())
     }
@@ -36,7 +36,7 @@
     /// Drops endpoints that are no longer listed.
     pub fn retain(&self, is_known: impl Fn(&str) -> bool) {
         let mut by_service = self.by_service.borrow_mut();
-        by_service.values_mut().for_each(|times| times.retain(&is_known));
+        by_service.values_mut().for_each(|balancer| balancer.retain(&is_known));
     }
 }
 
@@ -53,12 +53,12 @@
 impl CallTimer<'_> {
     /// A complete answer arrived.
     pub fn record_answer(mut self) {
-        self.record(|times, endpoint, took, now| times.record_answer(endpoint, took, now));
+        self.record(|balancer, endpoint, took, now| balancer.record_answer(endpoint, took, now));
     }
 
     /// The endpoint had no free slot.
     pub fn record_full(mut self) {
-        self.record(|times, endpoint, _, now| times.record_full(endpoint, now));
+        self.record(|balancer, endpoint, _, now| balancer.record_full(endpoint, now));
     }
 
     /// The call did not reach the endpoint, so it says nothing about its times.
@@ -69,7 +69,7 @@
     fn record(&mut self, change: impl FnOnce(&mut CallBalancer, &str, Duration, Instant)) {
         let now = Instant::now();
         let took = now.saturating_duration_since(self.sent_at);
-        self.tracker.with(self.service, |times| change(times, self.endpoint, took, now));
+        self.tracker.with(self.service, |balancer| change(balancer, self.endpoint, took, now));
         self.is_recorded = true;
     }
 }
@@ -77,8 +77,8 @@
 impl Drop for CallTimer<'_> {
     fn drop(&mut self) {
         if !self.is_recorded {
-            self.record(|times, endpoint, after, now| {
-                times.record_unanswered(endpoint, after, now)
+            self.record(|balancer, endpoint, after, now| {
+                balancer.record_unanswered(endpoint, after, now)
             });
         }
     }
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -90,22 +90,22 @@
 ) -> Result<Response<ReplyBody>, Failure> {
     let mut tried: Vec<EndpointId> = Vec::new();
     let mut attempts = SendAttempts::default();
-    let mut held: Option<BufferedReply> = None;
+    let mut failed_reply: Option<BufferedReply> = None;
     loop {
         let choice = choose_endpoint(gateway, job, &tried);
         let withheld_for = gateway.record_withheld(job);
         let choice = match choice {
             Ok(choice) => choice,
-            Err(refused) => {
-                let least = withheld_for.filter(|_| refused.reason == CallRefusalReason::Withheld);
-                let failure = || with_min_retry_after(refuse(gateway, job, refused), least);
-                return held.map(|whole| whole.reply).ok_or_else(failure);
+            Err(refusal) => {
+                let least = withheld_for.filter(|_| refusal.reason == CallRefusalReason::Withheld);
+                let failure = || with_min_retry_after(refuse(gateway, job, refusal), least);
+                return failed_reply.map(|whole| whole.reply).ok_or_else(failure);
             }
         };
         attempts.record_send(job);
         gateway.count_against_limit(&choice.endpoint);
         let sent_at = Instant::now();
-        let (left, reason) = match try_once(gateway, job, &choice).await {
+        let (failure_kind, reason) = match try_once(gateway, job, &choice).await {
             TryOutcome::Success(reply) => {
                 gateway.on_request_survived(job);
                 return Ok(reply);
@@ -113,7 +113,7 @@
             TryOutcome::Failed(whole) => {
                 gateway.on_request_survived(job);
                 let reason = format!("status {}", whole.reply.status().as_u16());
-                held = Some(whole);
+                failed_reply = Some(whole);
                 (SendFailureKind::MayHaveRun, reason)
             }
             TryOutcome::NotRun(reason) => (SendFailureKind::NotRun, reason),
@@ -140,10 +140,11 @@
             },
         );
         tried.push(choice.endpoint);
-        let may_retry = attempts.may_retry(gateway, job, left);
+        let may_retry = attempts.may_retry(gateway, job, failure_kind);
         if !may_retry {
-            let held = held.map(|whole| whole.reply);
-            return held.ok_or_else(|| final_failure(job.run.get(), FailureKind::NoChain, &reason));
+            let failed_reply = failed_reply.map(|whole| whole.reply);
+            return failed_reply
+                .ok_or_else(|| final_failure(job.run.get(), FailureKind::NoChain, &reason));
         }
     }
 }
@@ -153,14 +154,14 @@
 fn refuse<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
-    refused: CallRefusal,
+    refusal: CallRefusal,
 ) -> Failure {
-    let kind = KindLabel { kind: refused.reason.name() };
+    let kind = KindLabel { kind: refusal.reason.name() };
     gateway.metrics.calls_refused.get_or_create(&kind).inc();
-    let failure = final_failure(job.run.get(), FailureKind::NoChain, refused.reason.text());
+    let failure = final_failure(job.run.get(), FailureKind::NoChain, refusal.reason.text());
     match failure.retry_after {
-        Some(_) if refused.reason != CallRefusalReason::NoEndpoint => {
-            failure.retry_after(refused.retry_after)
+        Some(_) if refusal.reason != CallRefusalReason::NoEndpoint => {
+            failure.retry_after(refusal.retry_after)
         }
         _ => failure,
     }
@@ -222,8 +223,8 @@
         gateway.on_evidence(&choice.endpoint, evidence, sent_at, "a call");
     }
     match sent {
-        SendOutcome::Success(reply, channel) => {
-            match whole_answer(gateway, choice, reply, channel).await {
+        SendOutcome::Success(reply, connection) => {
+            match whole_answer(gateway, choice, reply, connection).await {
                 Ok(whole) => {
                     timer.record_answer();
                     TryOutcome::Success(whole.reply)
@@ -231,8 +232,8 @@
                 Err(reason) => TryOutcome::Lost(reason),
             }
         }
-        SendOutcome::Failure(reply, channel) => {
-            match whole_answer(gateway, choice, reply, channel).await {
+        SendOutcome::Failure(reply, connection) => {
+            match whole_answer(gateway, choice, reply, connection).await {
                 Ok(whole) => TryOutcome::Failed(whole),
                 Err(reason) => TryOutcome::Lost(reason),
             }
@@ -261,10 +262,10 @@
     gateway: &Gateway<W, S>,
     choice: &Choice,
     reply: Response<Incoming>,
-    channel: PooledConnection,
+    connection: PooledConnection,
 ) -> Result<BufferedReply, String> {
     let whole = buffer_reply(reply, MAX_ANSWER_BYTES, &gateway.memory_budget).await?;
-    gateway.keep_channel(&choice.endpoint, channel, &whole.head);
+    gateway.keep_connection(&choice.endpoint, connection, &whole.head);
     Ok(whole)
 }
 
@@ -307,20 +308,20 @@
             slots: record.slots,
         });
         let candidates: Vec<CallCandidate<'_>> = candidates.collect();
-        let ask = CallRequest {
+        let request = CallRequest {
             time_left: job.time_left(now),
             is_idempotent: job.is_idempotent(),
             rank: job.rank(),
         };
         let choice = match settings.mechanisms.calls_in_time {
-            true => gateway
-                .call_tracker
-                .with(&job.service.name, |times| times.choose(&candidates, ask, now, draw)),
+            true => gateway.call_tracker.with(&job.service.name, |balancer| {
+                balancer.choose(&candidates, request, now, draw)
+            }),
             // By requests in flight alone.
-            false => CallBalancer::default().choose(&candidates, ask, now, draw),
+            false => CallBalancer::default().choose(&candidates, request, now, draw),
         };
         match choice {
-            CallDecision::Refuse(refused) => Err(refused),
+            CallDecision::Refuse(refusal) => Err(refusal),
             CallDecision::Send(at) => Ok(Choice {
                 endpoint: records[at].id.clone(),
                 address: records[at].address,
--- a/crates/sillbank_gateway/src/hall_reports.rs
+++ b/crates/sillbank_gateway/src/hall_reports.rs
@@ -99,8 +99,8 @@
         }
         for state in engines {
             let known = stored.engines.get(&state.id);
-            let known_life = known.and_then(|known| known.state.born_ms);
-            if compare_incarnations(state.born_ms, known_life) == IncarnationOrder::Older {
+            let known_incarnation = known.and_then(|known| known.state.born_ms);
+            if compare_incarnations(state.born_ms, known_incarnation) == IncarnationOrder::Older {
                 continue;
             }
             if known.is_none_or(|known| !known.state.is_similar(&state)) {
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 pub struct FleetLoad {
     services: RefCell<HashMap<ServiceId, ServiceLoad>>,
-    usual_times: RefCell<HashMap<RouteName, ElapsedEstimator>>,
+    elapsed_times: RefCell<HashMap<RouteName, ElapsedEstimator>>,
 }
 
 #[derive(Debug, Default)]
@@ -137,15 +137,15 @@
         let Some(left) = request.left else {
             return false;
         };
-        let mut usual_times = self.usual_times.borrow_mut();
-        if usual_times.len() >= MAX_ROUTES && !usual_times.contains_key(&request.route.name) {
-            usual_times.clear();
+        let mut elapsed_times = self.elapsed_times.borrow_mut();
+        if elapsed_times.len() >= MAX_ROUTES && !elapsed_times.contains_key(&request.route.name) {
+            elapsed_times.clear();
         }
-        let usual = usual_times.entry(request.route.name.clone()).or_default();
+        let estimator = elapsed_times.entry(request.route.name.clone()).or_default();
         if is_calm {
-            usual.record_first_try(left);
+            estimator.record_first_try(left);
         }
-        usual.elapsed(left) > request.route.objective
+        estimator.elapsed(left) > request.route.objective
     }
 }
 
--- a/crates/sillbank_gateway/src/restarts.rs
+++ b/crates/sillbank_gateway/src/restarts.rs
@@ -50,9 +50,9 @@
 
     /// Returns a connection to the pool after a whole answer, unless the endpoint has restarted
     /// since it was opened.
-    pub fn keep_channel(&self, endpoint: &str, channel: PooledConnection, reply: &HeaderMap) {
-        if !self.endpoint_tracker.restarted_since(endpoint, channel.opened_at) {
-            self.connection_pool.put_back(endpoint, channel, reply, Instant::now());
+    pub fn keep_connection(&self, endpoint: &str, connection: PooledConnection, reply: &HeaderMap) {
+        if !self.endpoint_tracker.restarted_since(endpoint, connection.opened_at) {
+            self.connection_pool.put_back(endpoint, connection, reply, Instant::now());
         }
     }
 }
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -143,7 +143,7 @@
 ) {
     let (head, body) = reply.into_parts();
     if Limited::new(body, MAX_REFUSAL_BYTES).collect().await.is_ok() {
-        gateway.keep_channel(&endpoint, connection, &head.headers);
+        gateway.keep_connection(&endpoint, connection, &head.headers);
     }
 }
 
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -155,7 +155,7 @@
             }
             match buffer_reply(reply, MAX_FAILURE_BYTES, &gateway.memory_budget).await {
                 Ok(buffered) => {
-                    gateway.keep_channel(&endpoint, connection, &buffered.head);
+                    gateway.keep_connection(&endpoint, connection, &buffered.head);
                     AttemptResult::Replied(UpstreamReply::Failure(buffered.reply))
                 }
                 Err(reason) => failed(None, SendFailureKind::MayHaveRun, reason),
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -87,7 +87,7 @@
                 SegmentEnd::Complete => {
                     self.gateway.on_request_survived(&self.job);
                     let Upstream { connection, endpoint, head, .. } = upstream;
-                    self.gateway.keep_channel(&endpoint, connection, &head);
+                    self.gateway.keep_connection(&endpoint, connection, &head);
                     return (Outcome::Answered, String::new());
                 }
                 SegmentEnd::Broken(at_fault, reason) => (at_fault, reason),
--- a/crates/sillbank_gateway/tests/call_book.rs
+++ b/crates/sillbank_gateway/tests/call_book.rs
@@ -12,7 +12,7 @@
 fn tracker() -> CallTracker {
     let tracker = CallTracker::default();
     let now = Instant::now();
-    tracker.with(SERVICE, |times| times.record_answer(QUICK, Duration::from_millis(20), now));
+    tracker.with(SERVICE, |balancer| balancer.record_answer(QUICK, Duration::from_millis(20), now));
     tracker
 }
 
@@ -25,8 +25,8 @@
 fn accepts_calls(tracker: &CallTracker, now: Instant) -> bool {
     let watched = CallCandidate { endpoint: WATCHED, is_local: true, in_flight: 0, slots: 6 };
     let ask = CallRequest { time_left: Duration::from_millis(800), is_idempotent: false, rank: 0 };
-    let choose = |times: &mut sillbank_admission::calls::CallBalancer| {
-        times.choose(&[watched], ask, now, || 0.5)
+    let choose = |balancer: &mut sillbank_admission::calls::CallBalancer| {
+        balancer.choose(&[watched], ask, now, || 0.5)
     };
     tracker.with(SERVICE, choose) == CallDecision::Send(0)
 }
