--- a/crates/sillbank_load/src/check.rs
+++ b/crates/sillbank_load/src/check.rs
@@ -1,8 +1,8 @@
-//! Compares what callers got with what the back ends ran.
+//! Compares the results of callers with the ledgers of the back ends.
 
-use crate::client::{End, Got};
+use crate::client::{Outcome, RequestRecord};
 use crate::fleet::MODEL_LAYERS;
-use crate::mix::WorkKind;
+use crate::mix::RequestKind;
 use bytes::Bytes;
 use hyper::Method;
 use serde::Deserialize;
@@ -16,31 +16,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time a ledger may take to come.
+/// Timeout for reading one ledger.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A call that a service ran.
+/// Ledger entry of a service: one call that it ran.
 #[derive(Debug, Clone, Deserialize)]
 struct ServiceEntry {
     id: String,
 }
 
-/// What all back ends that can be reached ran.
+/// Ledgers of all reachable back ends.
 #[derive(Debug, Default)]
 pub struct Ledgers {
+    /// Runs by request, each with the number of its engine.
     engines: HashMap<String, Vec<(usize, LedgerEntry)>>,
+    /// Number of runs by call.
     services: HashMap<String, u32>,
-    /// Back ends that gave no ledger, because they were killed.
+    /// Number of back ends whose ledger could not be read, such as killed ones.
     pub missing: usize,
 }
 
 impl Ledgers {
-    /// How often a service ran a call.
+    /// Returns how often services ran a call.
     pub fn service_runs(&self, uid: &RequestUid) -> u32 {
         self.services.get(&uid.to_string()).copied().unwrap_or(0)
     }
 
     /// Reads the ledgers of engines and services.
+    ///
+    /// # Errors
+    /// If a ledger cannot be parsed. An unreachable back end is counted in `missing`.
     pub async fn read(
         executor: Rc<LocalExecutor<'static>>,
         engines: &[SocketAddr],
@@ -81,33 +86,33 @@
     }
 }
 
-/// What the check found. Every field but the first two should be 0.
+/// Counts of the check. All but `whole`, `failed` and `missing_ledgers` count violations.
 #[derive(Debug, Clone, Default, serde::Serialize)]
-pub struct Checked {
-    /// Answers that were whole.
+pub struct CheckResult {
+    /// Complete answers.
     pub whole: u64,
     /// Requests that ended with a failure.
     pub failed: u64,
-    /// Whole answers that are not what an undisturbed run gives.
+    /// Complete answers that differ from the answer of an undisturbed run.
     pub wrong_answers: u64,
-    /// Runs at an engine in which a layer is missing, doubled or out of order.
+    /// Runs at an engine in which a layer is missing, repeated or out of order.
     pub wrong_layers: u64,
-    /// Runs at an engine that overlap an earlier one of the same attempt, or leave a gap.
+    /// Runs at an engine that overlap an earlier one of the same attempt, or leave a gap after it.
     pub doubled_positions: u64,
-    /// Whole answers with a layer and position that no reachable engine ran.
+    /// Complete answers with a layer and position that no reachable engine ran.
     pub unrun_layers: u64,
-    /// Calls not to be repeated that ran more than once.
+    /// Non-idempotent calls that ran more than once.
     pub doubled_calls: u64,
-    /// Calls answered as done that no service ran.
+    /// Successful calls that no service ran.
     pub lost_calls: u64,
-    /// Requests of which "not run" was said and that ran.
+    /// Requests that were reported as not run although they ran.
     pub false_not_run: u64,
     /// Back ends whose ledger could not be read.
     pub missing_ledgers: u64,
 }
 
-impl Checked {
-    /// Whether nothing is wrong.
+impl CheckResult {
+    /// Returns whether no violation was found.
     pub fn passed(&self) -> bool {
         self.wrong_answers
             + self.wrong_layers
@@ -120,45 +125,52 @@
     }
 }
 
-/// Checks every request.
-pub fn check(all: &[Got], ledgers: &Ledgers) -> Checked {
-    let mut checked = Checked { missing_ledgers: ledgers.missing as u64, ..Checked::default() };
-    for got in all {
-        match &got.end {
-            End::Whole => checked.whole += 1,
-            End::Failed { .. } => checked.failed += 1,
+/// Checks every request against the ledgers.
+pub fn check(records: &[RequestRecord], ledgers: &Ledgers) -> CheckResult {
+    let mut result =
+        CheckResult { missing_ledgers: ledgers.missing as u64, ..CheckResult::default() };
+    for record in records {
+        match &record.outcome {
+            Outcome::Complete => result.whole += 1,
+            Outcome::Failed { .. } => result.failed += 1,
         }
-        match &got.work.kind {
-            WorkKind::Generate { prompt, max_tokens, .. } => {
-                check_answer(got, prompt, *max_tokens, ledgers, &mut checked);
+        match &record.spec.kind {
+            RequestKind::Generate { prompt, max_tokens, .. } => {
+                check_generation(record, prompt, *max_tokens, ledgers, &mut result);
             }
-            WorkKind::Call { repeatable, .. } => {
-                check_call(got, *repeatable, ledgers, &mut checked);
+            RequestKind::Call { is_idempotent, .. } => {
+                check_call(record, *is_idempotent, ledgers, &mut result);
             }
         }
     }
-    checked
+    result
 }
 
-fn uid_of(got: &Got) -> RequestUid {
-    RequestUid::derive(&got.work.organisation, &got.work.request_id)
+fn request_uid(record: &RequestRecord) -> RequestUid {
+    RequestUid::derive(&record.spec.organisation, &record.spec.request_id)
 }
 
-fn check_answer(got: &Got, prompt: &str, max_tokens: u32, ledgers: &Ledgers, out: &mut Checked) {
-    let uid = uid_of(got);
+fn check_generation(
+    record: &RequestRecord,
+    prompt: &str,
+    max_tokens: u32,
+    ledgers: &Ledgers,
+    out: &mut CheckResult,
+) {
+    let uid = request_uid(record);
     let runs = ledgers.engines.get(&uid.to_string()).map_or(&[][..], Vec::as_slice);
     check_runs(runs, out);
-    match &got.end {
-        End::Failed { run: RunState::NotRun, .. } if !runs.is_empty() => out.false_not_run += 1,
-        End::Failed { .. } => {}
-        End::Whole => {
+    match &record.outcome {
+        Outcome::Failed { run: RunState::NotRun, .. } if !runs.is_empty() => out.false_not_run += 1,
+        Outcome::Failed { .. } => {}
+        Outcome::Complete => {
             let prompt = sillbank_model::tokenize(prompt);
             let answer =
                 sillbank_model::reference_answer(&prompt, MODEL_LAYERS, uid.seed(), max_tokens);
-            let ends = |token: &&TokenId| **token != sillbank_model::END_TOKEN;
+            let is_text = |token: &&TokenId| **token != sillbank_model::END_TOKEN;
             let text: String =
-                answer.iter().filter(ends).map(|t| sillbank_model::detokenize(*t)).collect();
-            if text != got.text {
+                answer.iter().filter(is_text).map(|t| sillbank_model::detokenize(*t)).collect();
+            if text != record.text {
                 out.wrong_answers += 1;
             }
             let positions = prompt.len() as u32 + answer.len() as u32 - 1;
@@ -169,9 +181,9 @@
     }
 }
 
-/// Each run must hold its layers once and in order, and the runs of one attempt at one engine
-/// must follow one another without overlap or gap.
-fn check_runs(runs: &[(usize, LedgerEntry)], out: &mut Checked) {
+/// Checks that each run has its layers once and in order, and that the runs of one attempt at one
+/// engine follow one another without overlap or gap.
+fn check_runs(runs: &[(usize, LedgerEntry)], out: &mut CheckResult) {
     let mut last: HashMap<(usize, Attempt), Position> = HashMap::new();
     for (engine, run) in runs {
         if !run.layers.windows(2).all(|pair| pair[1] == pair[0] + 1) {
@@ -185,7 +197,7 @@
     }
 }
 
-/// Whether every layer ran at every position up to a length.
+/// Returns whether every layer ran at every position below `positions`.
 fn covers(runs: &[(usize, LedgerEntry)], positions: u32) -> bool {
     (0..MODEL_LAYERS).all(|layer| {
         let mut spans: Vec<(Position, Position)> = runs
@@ -194,22 +206,27 @@
             .map(|(_, run)| (run.start, run.end))
             .collect();
         spans.sort_unstable();
-        let reach = |reached: u32, (start, end): (Position, Position)| match start <= reached {
+        let extend = |reached: u32, (start, end): (Position, Position)| match start <= reached {
             true => reached.max(end),
             false => reached,
         };
-        spans.into_iter().fold(0, reach) >= positions
+        spans.into_iter().fold(0, extend) >= positions
     })
 }
 
-fn check_call(got: &Got, repeatable: bool, ledgers: &Ledgers, out: &mut Checked) {
-    let ran = ledgers.services.get(&uid_of(got).to_string()).copied().unwrap_or(0);
-    if !repeatable && ran > 1 {
+fn check_call(
+    record: &RequestRecord,
+    is_idempotent: bool,
+    ledgers: &Ledgers,
+    out: &mut CheckResult,
+) {
+    let ran = ledgers.services.get(&request_uid(record).to_string()).copied().unwrap_or(0);
+    if !is_idempotent && ran > 1 {
         out.doubled_calls += 1;
     }
-    match &got.end {
-        End::Whole if ran == 0 && ledgers.missing == 0 => out.lost_calls += 1,
-        End::Failed { run: RunState::NotRun, .. } if ran > 0 => out.false_not_run += 1,
+    match &record.outcome {
+        Outcome::Complete if ran == 0 && ledgers.missing == 0 => out.lost_calls += 1,
+        Outcome::Failed { run: RunState::NotRun, .. } if ran > 0 => out.false_not_run += 1,
         _ => {}
     }
 }
--- a/crates/sillbank_load/src/client.rs
+++ b/crates/sillbank_load/src/client.rs
@@ -1,7 +1,7 @@
-//! A caller: sends a request as client libraries would, resumes an answer that broke off, and
-//! notes what it got and when.
+//! A caller: sends a request as client libraries do, resumes an interrupted answer, and records
+//! the result with its times.
 
-use crate::mix::{Work, WorkKind};
+use crate::mix::{RequestKind, RequestSpec};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -14,62 +14,62 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Tries at one request, resumptions included.
+/// Maximum tries of one request, including resumptions.
 const MAX_TRIES: u32 = 8;
 
-/// How much longer than its deadline a caller waits for the answer that says so.
-const GRACE: Duration = Duration::from_secs(2);
+/// Time that a caller waits past its deadline for the failure that reports it.
+const DEADLINE_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Number of the failure after which the same answer can be asked for again.
+/// Failure code after which a caller resumes the answer.
 const ENDPOINTS_LOST: &str = "SB0009";
 
-/// What a caller got.
+/// A request with its result, as its caller saw it.
 #[derive(Debug, Clone)]
-pub struct Got {
+pub struct RequestRecord {
     /// The request.
-    pub work: Work,
-    /// When it was first sent.
+    pub spec: RequestSpec,
+    /// Time of the first try.
     pub sent_at: Instant,
-    /// When it ended.
+    /// Time when the request ended.
     pub ended_at: Instant,
-    /// When each token came.
+    /// Arrival time of each token.
     pub token_times: Vec<Instant>,
-    /// Text of the answer so far.
+    /// Text of the answer received so far.
     pub text: String,
-    /// How it ended.
-    pub end: End,
-    /// Tries it took, resumptions included.
+    /// Outcome for the caller.
+    pub outcome: Outcome,
+    /// Number of tries, including resumptions.
     pub tries: u32,
-    /// How quickly the first refusal came, if there was one.
+    /// Time from a try to its refusal, for the first refusal.
     pub refused_after: Option<Duration>,
 }
 
-/// How a request ended for the caller.
+/// Outcome of a request for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
-    /// A whole answer.
-    Whole,
-    /// A failure, and what it said of the work.
+pub enum Outcome {
+    /// The answer is complete.
+    Complete,
+    /// The request failed.
     Failed {
-        /// Number of the failure.
+        /// Code of the failure.
         code: String,
-        /// What was said of the work.
+        /// Whether the request ran, as far as the failure tells.
         run: RunState,
     },
 }
 
-/// Tokens an answer has so far, for who watches it.
+/// Number of tokens received so far, shared with an observer.
 pub type Progress = Rc<Cell<usize>>;
 
-/// How one try ended.
-enum Try {
-    Whole,
-    /// Broke off, handed over, or refused for now: come again with what is there.
-    Again(Duration, Option<End>),
+/// Outcome of one try.
+enum TryOutcome {
+    Complete,
+    /// Interrupted, handed over or refused for now: retry after a pause and resume the answer.
+    Retry(Duration, Option<Outcome>),
     Failed(String, RunState),
 }
 
-/// Sends requests to the entries of a fleet, as through a balancer.
+/// Sends requests to random entries of a fleet, as a load balancer would.
 #[derive(Clone)]
 pub struct Caller {
     executor: Rc<LocalExecutor<'static>>,
@@ -81,7 +81,7 @@
 }
 
 impl Caller {
-    /// A caller of these entries. The seed decides which entry each try goes to.
+    /// Creates a caller. The seed determines the entry of each try.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         entries: Vec<SocketAddr>,
@@ -98,55 +98,57 @@
         }
     }
 
-    /// The same caller with another patience.
-    pub fn with_patience(&self, deadline: Duration, max_tries: u32) -> Self {
+    /// Returns the same caller with another deadline and number of tries.
+    pub fn with_limits(&self, deadline: Duration, max_tries: u32) -> Self {
         Self { deadline, max_tries, ..self.clone() }
     }
 
-    /// Carries a request through to its end.
-    pub async fn carry(&self, work: Work) -> Got {
-        self.carry_watched(work, None, Progress::default()).await
+    /// Sends a request, with retries and resumptions, until it ends.
+    pub async fn execute(&self, spec: RequestSpec) -> RequestRecord {
+        self.execute_with_progress(spec, None, Progress::default()).await
     }
 
-    /// Carries a request through to its end, beginning at a stated entry, and tells how many
-    /// tokens have come.
-    pub async fn carry_watched(
+    /// Like [`execute`](Self::execute), with the entry of the first try, if given, and the number
+    /// of received tokens in `progress`.
+    pub async fn execute_with_progress(
         &self,
-        work: Work,
+        spec: RequestSpec,
         first_entry: Option<usize>,
         progress: Progress,
-    ) -> Got {
+    ) -> RequestRecord {
         let sent_at = Instant::now();
-        let mut got = Got {
-            work,
+        let mut record = RequestRecord {
+            spec,
             sent_at,
             ended_at: sent_at,
             token_times: Vec::new(),
             text: String::new(),
-            end: End::Failed { code: "tries".to_owned(), run: RunState::Unknown },
+            outcome: Outcome::Failed { code: "tries".to_owned(), run: RunState::Unknown },
             tries: 0,
             refused_after: None,
         };
-        while got.tries < self.max_tries {
-            got.tries += 1;
-            let drawn = self.rng.borrow_mut().usize(..self.entries.len());
-            let entry = self.entries[first_entry.filter(|_| got.tries == 1).unwrap_or(drawn)];
+        while record.tries < self.max_tries {
+            record.tries += 1;
+            let random = self.rng.borrow_mut().usize(..self.entries.len());
+            let entry = self.entries[first_entry.filter(|_| record.tries == 1).unwrap_or(random)];
             let tried_at = Instant::now();
-            let tried = match got.work.kind.clone() {
-                WorkKind::Generate { .. } => self.try_generate(entry, &mut got, &progress).await,
-                WorkKind::Call { service, path, repeatable } => {
-                    self.try_call(entry, &got, &service, &path, repeatable).await
+            let tried_outcome = match record.spec.kind.clone() {
+                RequestKind::Generate { .. } => {
+                    self.try_generate(entry, &mut record, &progress).await
+                }
+                RequestKind::Call { service, path, is_idempotent } => {
+                    self.try_call(entry, &record, &service, &path, is_idempotent).await
                 }
             };
-            match tried {
-                Try::Whole => got.end = End::Whole,
-                Try::Failed(code, run) => got.end = End::Failed { code, run },
-                Try::Again(after, end) => {
-                    if matches!(end, Some(End::Failed { run: RunState::NotRun, .. })) {
-                        got.refused_after.get_or_insert(tried_at.elapsed());
+            match tried_outcome {
+                TryOutcome::Complete => record.outcome = Outcome::Complete,
+                TryOutcome::Failed(code, run) => record.outcome = Outcome::Failed { code, run },
+                TryOutcome::Retry(after, outcome) => {
+                    if matches!(outcome, Some(Outcome::Failed { run: RunState::NotRun, .. })) {
+                        record.refused_after.get_or_insert(tried_at.elapsed());
                     }
-                    got.end = end.unwrap_or(got.end);
-                    if got.tries < self.max_tries {
+                    record.outcome = outcome.unwrap_or(record.outcome);
+                    if record.tries < self.max_tries {
                         Timer::after(after).await;
                     }
                     continue;
@@ -154,34 +156,40 @@
             }
             break;
         }
-        got.ended_at = Instant::now();
-        got
+        record.ended_at = Instant::now();
+        record
     }
 
-    async fn try_generate(&self, entry: SocketAddr, got: &mut Got, progress: &Progress) -> Try {
-        let soon = again_soon();
+    async fn try_generate(
+        &self,
+        entry: SocketAddr,
+        record: &mut RequestRecord,
+        progress: &Progress,
+    ) -> TryOutcome {
+        let soon = retry_soon();
         let Ok(mut sender) = sillbank_net::client::connect(&self.executor, entry).await else {
             return soon;
         };
-        let deadline = Timer::after(self.deadline + GRACE);
+        let deadline = Timer::after(self.deadline + DEADLINE_GRACE_PERIOD);
         let exchange = async {
-            match sender.send_request(self.generate_request(got)).await {
+            match sender.send_request(self.generate_request(record)).await {
                 Ok(response) if response.status().is_success() => {
-                    read_events(response, got, progress).await
+                    read_events(response, record, progress).await
                 }
                 Ok(response) => read_failure(response).await,
                 Err(_) => soon,
             }
         };
-        let late = async {
+        let timeout = async {
             deadline.await;
-            Try::Failed("caller_deadline".to_owned(), RunState::Unknown)
+            TryOutcome::Failed("caller_deadline".to_owned(), RunState::Unknown)
         };
-        futures_lite::future::or(exchange, late).await
+        futures_lite::future::or(exchange, timeout).await
     }
 
-    fn generate_request(&self, got: &Got) -> Request<ReplyBody> {
-        let WorkKind::Generate { pipeline, prompt, max_tokens, priority } = &got.work.kind else {
+    fn generate_request(&self, record: &RequestRecord) -> Request<ReplyBody> {
+        let RequestKind::Generate { pipeline, prompt, max_tokens, priority } = &record.spec.kind
+        else {
             return Request::new(ReplyBody::Whole(Full::default()));
         };
         let body = serde_json::json!({
@@ -196,9 +204,9 @@
             "/v1/chat/completions",
             Bytes::from(body.to_string()),
         );
-        self.add_headers(&mut request, got);
-        if !got.token_times.is_empty() {
-            let delivered = got.token_times.len().to_string();
+        self.add_headers(&mut request, record);
+        if !record.token_times.is_empty() {
+            let delivered = record.token_times.len().to_string();
             if let Ok(value) = delivered.parse() {
                 request.headers_mut().insert("last-event-id", value);
             }
@@ -209,39 +217,39 @@
     async fn try_call(
         &self,
         entry: SocketAddr,
-        got: &Got,
+        record: &RequestRecord,
         service: &str,
         path: &str,
-        repeatable: bool,
-    ) -> Try {
+        is_idempotent: bool,
+    ) -> TryOutcome {
         let path = format!("/v1/services/{service}/{path}");
         let mut request =
             sillbank_net::client::request(Method::POST, &path, Bytes::from_static(b"{}"));
-        self.add_headers(&mut request, got);
-        if !repeatable {
+        self.add_headers(&mut request, record);
+        if !is_idempotent {
             let flag = hyper::header::HeaderValue::from_static("true");
             request.headers_mut().insert("x-not-repeatable", flag);
         }
-        match self.http.call(entry, request, self.deadline + GRACE).await {
-            Ok(reply) if reply.status.is_success() => Try::Whole,
-            Ok(reply) => match failure_of(&reply.body) {
+        match self.http.call(entry, request, self.deadline + DEADLINE_GRACE_PERIOD).await {
+            Ok(reply) if reply.status.is_success() => TryOutcome::Complete,
+            Ok(reply) => match parse_failure(&reply.body) {
                 (code, run @ RunState::NotRun, Some(after)) => {
-                    Try::Again(after, Some(End::Failed { code, run }))
+                    TryOutcome::Retry(after, Some(Outcome::Failed { code, run }))
                 }
-                (code, run, _) => Try::Failed(code, run),
+                (code, run, _) => TryOutcome::Failed(code, run),
             },
-            Err(CallError::NotSent { .. }) => again_soon(),
-            Err(CallError::Lost { .. }) if repeatable => again_soon(),
-            Err(CallError::Lost { .. }) => Try::Failed("lost".to_owned(), RunState::Unknown),
+            Err(CallError::NotSent { .. }) => retry_soon(),
+            Err(CallError::Lost { .. }) if is_idempotent => retry_soon(),
+            Err(CallError::Lost { .. }) => TryOutcome::Failed("lost".to_owned(), RunState::Unknown),
         }
     }
 
-    fn add_headers(&self, request: &mut Request<Bytes>, got: &Got) {
+    fn add_headers(&self, request: &mut Request<Bytes>, record: &RequestRecord) {
         let headers = request.headers_mut();
-        if let Ok(value) = format!("Bearer {}", got.work.key).parse() {
+        if let Ok(value) = format!("Bearer {}", record.spec.key).parse() {
             headers.insert("authorization", value);
         }
-        if let Ok(value) = got.work.request_id.parse() {
+        if let Ok(value) = record.spec.request_id.parse() {
             headers.insert("x-request-id", value);
         }
         if let Ok(value) = self.deadline.as_millis().to_string().parse() {
@@ -250,24 +258,24 @@
     }
 }
 
-async fn read_failure(response: Response<Incoming>) -> Try {
+async fn read_failure(response: Response<Incoming>) -> TryOutcome {
     let Ok(body) = response.into_body().collect().await else {
-        return again_soon();
+        return retry_soon();
     };
-    match failure_of(&body.to_bytes()) {
+    match parse_failure(&body.to_bytes()) {
         (code, run @ RunState::NotRun, Some(after)) => {
-            Try::Again(after, Some(End::Failed { code, run }))
+            TryOutcome::Retry(after, Some(Outcome::Failed { code, run }))
         }
-        (code, run, _) => Try::Failed(code, run),
+        (code, run, _) => TryOutcome::Failed(code, run),
     }
 }
 
-fn again_soon() -> Try {
-    Try::Again(Duration::from_millis(20), None)
+fn retry_soon() -> TryOutcome {
+    TryOutcome::Retry(Duration::from_millis(20), None)
 }
 
-/// Code, run state and time to come back of a failure's body.
-fn failure_of(body: &[u8]) -> (String, RunState, Option<Duration>) {
+/// Parses the code, run state and retry-after time from the body of a failure.
+fn parse_failure(body: &[u8]) -> (String, RunState, Option<Duration>) {
     let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     let error = &value["error"];
     let code = error["code"].as_str().unwrap_or("unreadable").to_owned();
@@ -276,7 +284,11 @@
     (code, run, after)
 }
 
-async fn read_events(response: Response<Incoming>, got: &mut Got, progress: &Progress) -> Try {
+async fn read_events(
+    response: Response<Incoming>,
+    record: &mut RequestRecord,
+    progress: &Progress,
+) -> TryOutcome {
     let mut body = response.into_body();
     let mut buffer = BytesMut::new();
     while let Some(Ok(frame)) = body.frame().await {
@@ -286,38 +298,41 @@
         let now = Instant::now();
         while let Some(end) = buffer.windows(2).position(|pair| pair == b"\n\n") {
             let event = buffer.split_to(end + 2);
-            if let Some(ended) = take_event(&event[..end], got, now) {
+            if let Some(ended) = apply_event(&event[..end], record, now) {
                 return ended;
             }
-            progress.set(got.token_times.len());
+            progress.set(record.token_times.len());
         }
     }
-    Try::Again(Duration::from_millis(5), None)
+    TryOutcome::Retry(Duration::from_millis(5), None)
 }
 
-/// Takes one event; answers how the try ended, if it did.
-fn take_event(event: &[u8], got: &mut Got, now: Instant) -> Option<Try> {
+/// Applies one event to the record; returns the outcome of the try if the event ends it.
+fn apply_event(event: &[u8], record: &mut RequestRecord, now: Instant) -> Option<TryOutcome> {
     let text = std::str::from_utf8(event).unwrap_or_default();
     let field = |name: &str| text.lines().find_map(|line| line.strip_prefix(name));
     let data = field("data: ")?;
     if data == "[DONE]" {
-        return Some(Try::Whole);
+        return Some(TryOutcome::Complete);
     }
     match field("event: ") {
-        Some("resume") => return Some(Try::Again(Duration::ZERO, None)),
+        Some("resume") => return Some(TryOutcome::Retry(Duration::ZERO, None)),
         Some("error") => {
-            let (code, run, after) = failure_of(data.as_bytes());
+            let (code, run, after) = parse_failure(data.as_bytes());
             return Some(match code == ENDPOINTS_LOST {
-                true => Try::Again(after.unwrap_or_default(), Some(End::Failed { code, run })),
-                false => Try::Failed(code, run),
+                true => TryOutcome::Retry(
+                    after.unwrap_or_default(),
+                    Some(Outcome::Failed { code, run }),
+                ),
+                false => TryOutcome::Failed(code, run),
             });
         }
         _ => {}
     }
     let value: serde_json::Value = serde_json::from_str(data).unwrap_or_default();
     if let Some(content) = value["choices"][0]["delta"]["content"].as_str() {
-        got.text.push_str(content);
-        got.token_times.push(now);
+        record.text.push_str(content);
+        record.token_times.push(now);
     }
     None
 }
--- a/crates/sillbank_load/src/control_bench.rs
+++ b/crates/sillbank_load/src/control_bench.rs
@@ -1,4 +1,5 @@
-//! The control bench: what one control process uses, at rest and after its settings have come.
+//! The control benchmark: processor time, memory and traffic of idle control processes that have
+//! received their settings.
 
 use crate::Verdict;
 use crate::fleet::Addresses;
@@ -15,19 +16,19 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Measure processor share, memory and bytes a second of control processes at rest.
+/// Measure processor share, memory and bytes a second of idle control processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "control")]
 pub struct ControlArguments {
     /// folder that `sillbank-load fleet` wrote
     #[argh(option)]
     fleet: PathBuf,
-    /// how long to measure, in seconds
+    /// duration of the measurement, in seconds
     #[argh(option, default = "15.0")]
     seconds: f64,
 }
 
-/// What one process had used when it was looked at.
+/// Counters of one process at one time.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     cpu: Duration,
@@ -35,29 +36,29 @@
     platform_calls: u64,
 }
 
-/// Runs the bench.
+/// Runs the benchmark.
 ///
 /// # Errors
-/// What hindered it.
+/// If the fleet's files cannot be read, or a process does not respond or has ended.
 pub async fn run(executor: Rc<LocalExecutor<'static>>, arguments: ControlArguments) -> Verdict {
     let fleet = Addresses::read(&arguments.fleet)?;
     let client = HttpClient::new(executor, 1 << 20);
     let pids = control_pids(&arguments.fleet, fleet.control_admins.len())?;
-    let objects = settled(&client, &fleet.control_admins).await?;
-    let before = samples(&client, &fleet.control_admins, &pids).await?;
+    let objects = wait_for_settings(&client, &fleet.control_admins).await?;
+    let before = take_samples(&client, &fleet.control_admins, &pids).await?;
     let started = Instant::now();
     Timer::after(Duration::from_secs_f64(arguments.seconds)).await;
-    let after = samples(&client, &fleet.control_admins, &pids).await?;
+    let after = take_samples(&client, &fleet.control_admins, &pids).await?;
     let seconds = started.elapsed().as_secs_f64();
-    let spread = |value: &dyn Fn(&Sample, &Sample) -> f64| {
+    let distribution = |value: &dyn Fn(&Sample, &Sample) -> f64| {
         let mut all: Vec<u64> =
             before.iter().zip(&after).map(|(b, a)| (value(b, a) * 1000.0) as u64).collect();
         all.sort_unstable();
-        let at = |q: f64| quantile(&all, q) as f64 / 1000.0;
-        serde_json::json!({ "p50": at(0.5), "p95": at(0.95), "max": at(1.0) })
+        let value_at = |q: f64| quantile(&all, q) as f64 / 1000.0;
+        serde_json::json!({ "p50": value_at(0.5), "p95": value_at(0.95), "max": value_at(1.0) })
     };
-    let cpu = spread(&|b, a| (a.cpu - b.cpu).as_secs_f64() / seconds * 100.0);
-    let bytes = spread(&|b, a| (a.bytes - b.bytes) as f64 / seconds);
+    let cpu = distribution(&|b, a| (a.cpu - b.cpu).as_secs_f64() / seconds * 100.0);
+    let bytes = distribution(&|b, a| (a.bytes - b.bytes) as f64 / seconds);
     let calls: u64 =
         before.iter().zip(&after).map(|(b, a)| a.platform_calls - b.platform_calls).sum();
     let mut memory: Vec<u64> = pids.iter().filter_map(|pid| resident_bytes(*pid)).collect();
@@ -79,8 +80,8 @@
     Ok(true)
 }
 
-/// Waits until every process holds as many objects as the one that holds most; answers how many.
-async fn settled(
+/// Waits until all processes have the same number of objects, and at least one; returns the number.
+async fn wait_for_settings(
     client: &HttpClient,
     admins: &[SocketAddr],
 ) -> Result<u64, Box<dyn std::error::Error>> {
@@ -93,18 +94,18 @@
             let status: serde_json::Value = reply.json()?;
             counts.push(status["objects"].as_u64().unwrap_or(0));
         }
-        let (least, most) = (counts.iter().min().copied(), counts.iter().max().copied());
-        if least == most && most > Some(0) {
-            return Ok(most.unwrap_or(0));
+        let (min, max) = (counts.iter().min().copied(), counts.iter().max().copied());
+        if min == max && max > Some(0) {
+            return Ok(max.unwrap_or(0));
         }
         if Instant::now() > deadline {
-            return Err(format!("settings did not come everywhere: {least:?} to {most:?}").into());
+            return Err(format!("settings did not come everywhere: {min:?} to {max:?}").into());
         }
         Timer::after(Duration::from_millis(200)).await;
     }
 }
 
-async fn samples(
+async fn take_samples(
     client: &HttpClient,
     admins: &[SocketAddr],
     pids: &[u32],
@@ -129,7 +130,7 @@
     Ok(all)
 }
 
-/// Process ids of the control processes, from the list that the fleet's tool keeps.
+/// Reads the process ids of the control processes from `pids.txt`, which `tools/fleet.sh` writes.
 fn control_pids(folder: &Path, count: usize) -> Result<Vec<u32>, Box<dyn std::error::Error>> {
     let text = std::fs::read_to_string(folder.join("pids.txt"))?;
     let pid_of = |name: &str| {
--- a/crates/sillbank_load/src/direct.rs
+++ b/crates/sillbank_load/src/direct.rs
@@ -1,4 +1,4 @@
-//! A client that drives the engines itself, without sillbank: the baseline of the hop bench.
+//! A client that calls the engines directly, without sillbank: the baseline of the hop benchmark.
 
 use bytes::{BufMut, BytesMut};
 use http_body_util::BodyExt;
@@ -15,17 +15,20 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-type Waiting = Rc<RefCell<HashMap<RequestUid, Sender<StepReply>>>>;
+type PendingReplies = Rc<RefCell<HashMap<RequestUid, Sender<StepReply>>>>;
 
-/// One engine, and who waits for its replies.
+/// A connection to one engine, with the requests that wait for its replies.
 pub struct DirectEngine {
     outbox: Outbox,
-    waiting: Waiting,
+    pending: PendingReplies,
     layers: LayerRange,
 }
 
 impl DirectEngine {
     /// Connects to an engine that holds the layers.
+    ///
+    /// # Errors
+    /// If the connection or the stream of steps cannot be opened.
     pub async fn connect(
         executor: &Rc<LocalExecutor<'static>>,
         address: SocketAddr,
@@ -39,9 +42,9 @@
             .header("host", "engine")
             .body(ReplyBody::Stream(body))?;
         let reply = sender.send_request(request).await?;
-        let waiting = Waiting::default();
-        executor.spawn(read_replies(reply.into_body(), waiting.clone())).detach();
-        Ok(Self { outbox, waiting, layers })
+        let pending = PendingReplies::default();
+        executor.spawn(read_replies(reply.into_body(), pending.clone())).detach();
+        Ok(Self { outbox, pending, layers })
     }
 
     async fn step(
@@ -49,16 +52,16 @@
         step: Step,
         replies: &(Sender<StepReply>, Receiver<StepReply>),
     ) -> StepReply {
-        self.waiting.borrow_mut().insert(step.uid, replies.0.clone());
+        self.pending.borrow_mut().insert(step.uid, replies.0.clone());
         self.outbox.write_with(|buffer| {
             serde_json::to_writer(buffer.writer(), &EngineRequest::Step(step)).ok();
             buffer.put_u8(b'\n');
         });
-        replies.1.recv().await.expect("the sender is held here")
+        replies.1.recv().await.expect("this function holds the sender")
     }
 }
 
-async fn read_replies(mut body: Incoming, waiting: Waiting) {
+async fn read_replies(mut body: Incoming, pending: PendingReplies) {
     let mut buffer = BytesMut::new();
     while let Some(Ok(frame)) = body.frame().await {
         if let Some(data) = frame.data_ref() {
@@ -67,7 +70,7 @@
         while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
             let line = buffer.split_to(end + 1);
             if let Ok(reply) = serde_json::from_slice::<StepReply>(&line[..end])
-                && let Some(sender) = waiting.borrow_mut().remove(&reply.uid)
+                && let Some(sender) = pending.borrow_mut().remove(&reply.uid)
             {
                 sender.try_send(reply).ok();
             }
@@ -75,7 +78,9 @@
     }
 }
 
-/// Generates one answer through a chain; returns when each token came.
+/// Generates one answer through a chain; returns the arrival time of each token.
+///
+/// Ends early if an engine refuses a step.
 pub async fn generate(
     chain: &[DirectEngine],
     uid: RequestUid,
@@ -100,11 +105,11 @@
                 inputs: std::mem::take(&mut inputs),
             };
             let reply = engine.step(step, &replies).await;
-            let StepOutcome::Done { outputs, token: drawn } = reply.outcome else {
+            let StepOutcome::Done { outputs, token: sampled } = reply.outcome else {
                 return times;
             };
             inputs = outputs;
-            token = drawn;
+            token = sampled;
         }
         times.push(Instant::now());
         start += count;
--- a/crates/sillbank_load/src/experiment/mod.rs
+++ b/crates/sillbank_load/src/experiment/mod.rs
@@ -1,19 +1,22 @@
-//! Experiments against the bound that the stand-ins' own cost model allows.
+//! Experiments at a share of the throughput bound that the cost model of the stand-ins allows.
 //!
-//! One run sends an open loop at a share of the bound and tells what came back in time. With
-//! `--faults FILE` it also tells how long goodput took to come back after each fault; the file
-//! has a line `MILLISECONDS NAME` for each, in milliseconds since 1970.
+//! A run sends open-loop load and reports goodput and latencies. With `--faults FILE` it also
+//! reports how long goodput took to recover after each fault; the file has a line
+//! `MILLISECONDS NAME` for each fault, with the time in milliseconds since the Unix epoch.
 
 mod recovery;
 
 use crate::Verdict;
-use crate::check::{Checked, Ledgers, check};
-use crate::client::{Caller, End, Got};
-use crate::fleet::{Addresses, MODEL_LAYERS, STAGE_LAYERS};
-use crate::mix::{BOTH, ORGANISATIONS, Top, Work, WorkKind, organisation_key, organisation_name};
+use crate::check::{CheckResult, Ledgers, check};
+use crate::client::{Caller, Outcome, RequestRecord};
+use crate::fleet::{Addresses, LAYERS_PER_STAGE, MODEL_LAYERS};
+use crate::mix::{
+    ORGANISATIONS, RequestKind, RequestSpec, WORKLOADS, Workload, organisation_key,
+    organisation_name,
+};
 use crate::report::quantile;
 use argh::FromArgs;
-use recovery::recoveries;
+use recovery::recovery_figures;
 use serde_json::{Value, json};
 use sillbank_model::kinds::find_kind;
 use smol::{LocalExecutor, Timer};
@@ -22,14 +25,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Send an open loop at a share of the bound and judge what came back in time.
+/// Send open-loop load at a share of the throughput bound and report goodput and latencies.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "experiment")]
 pub struct ExperimentArguments {
     /// folder that `sillbank-load fleet` wrote
     #[argh(option)]
     fleet: PathBuf,
-    /// load as a share of the bound
+    /// load as a share of the throughput bound
     #[argh(option, default = "0.7")]
     load: f64,
     /// how long requests are sent, in seconds
@@ -44,34 +47,34 @@
     /// deadline of each request, in milliseconds
     #[argh(option, default = "20000")]
     deadline_ms: u64,
-    /// short calls a second, beside the answers
+    /// service calls a second, beside the generations
     #[argh(option, default = "20.0")]
     calls: f64,
-    /// share of the answers that the first organisation asks for; the others share the rest
+    /// share of the generations that the first organisation requests; the others share the rest
     #[argh(option, default = "0.1")]
     first_share: f64,
-    /// only this user's pipeline: market or match
+    /// send only to the pipeline of this user: market or match
     #[argh(option)]
     top: Option<String>,
-    /// organisations that ask
+    /// number of organisations that send requests
     #[argh(option, default = "ORGANISATIONS")]
     organisations: usize,
-    /// tries at each request, resumptions included
+    /// tries of each request, including resumptions
     #[argh(option, default = "1")]
     tries: u32,
-    /// seed
+    /// seed of the random generators
     #[argh(option, default = "1")]
     seed: u64,
-    /// a kind that was slowed and its factor, as KIND:FACTOR; lowers the bound
+    /// accelerator kind that was slowed and its factor, as KIND:FACTOR; lowers the bound
     #[argh(option)]
     slowed: Option<String>,
     /// numbers of engines that were killed, separated by commas; lowers the bound
     #[argh(option, default = "String::new()")]
     lost: String,
-    /// engines were killed and started anew, so that ledgers are not whole
+    /// engines were restarted, so their ledgers are incomplete
     #[argh(switch)]
     ledgers_lost: bool,
-    /// file of the faults made meanwhile
+    /// file with the faults injected during the run
     #[argh(option)]
     faults: Option<PathBuf>,
     /// name of the run
@@ -82,81 +85,91 @@
 /// Runs the experiment.
 ///
 /// # Errors
-/// What hindered it.
+/// If the fleet's files, the file of faults or a ledger cannot be read.
 pub async fn run(executor: Rc<LocalExecutor<'static>>, arguments: ExperimentArguments) -> Verdict {
     let fleet = Addresses::read(&arguments.fleet)?;
-    let wanted = |top: &&Top| arguments.top.as_deref().is_none_or(|name| name == top.name);
-    let tops: Vec<Top> = BOTH.iter().filter(wanted).copied().collect();
+    let is_selected =
+        |workload: &&Workload| arguments.top.as_deref().is_none_or(|name| name == workload.name);
+    let workloads: Vec<Workload> = WORKLOADS.iter().filter(is_selected).copied().collect();
     let per_token = f64::from(arguments.prompt) / f64::from(arguments.answer);
-    let bounds: Vec<f64> =
-        tops.iter().map(|top| bound(&fleet, &arguments, top, per_token)).collect();
+    let bounds: Vec<f64> = workloads
+        .iter()
+        .map(|workload| throughput_bound(&fleet, &arguments, workload, per_token))
+        .collect();
     let deadline = Duration::from_millis(arguments.deadline_ms);
     let caller = Caller::new(executor.clone(), fleet.entries.clone(), arguments.seed, deadline)
-        .with_patience(deadline, arguments.tries);
+        .with_limits(deadline, arguments.tries);
     let clock = (Instant::now(), SystemTime::now());
     let mut senders = Vec::new();
-    for (number, (top, bound)) in tops.iter().zip(&bounds).enumerate() {
+    for (number, (workload, bound)) in workloads.iter().zip(&bounds).enumerate() {
         let rate = bound * arguments.load / f64::from(arguments.answer);
-        let shape = Stream::new(&arguments, *top, rate, true, number as u64);
-        senders.push(executor.spawn(shape.send(executor.clone(), caller.clone())));
-        let shape = Stream::new(&arguments, *top, arguments.calls / 2.0, false, 7 + number as u64);
-        senders.push(executor.spawn(shape.send(executor.clone(), caller.clone())));
+        let stream = ArrivalStream::new(&arguments, *workload, rate, true, number as u64);
+        senders.push(executor.spawn(stream.send(executor.clone(), caller.clone())));
+        let stream = ArrivalStream::new(
+            &arguments,
+            *workload,
+            arguments.calls / 2.0,
+            false,
+            7 + number as u64,
+        );
+        senders.push(executor.spawn(stream.send(executor.clone(), caller.clone())));
     }
-    let mut all = Vec::new();
+    let mut records = Vec::new();
     for sender in senders {
-        all.extend(sender.await);
+        records.extend(sender.await);
     }
     let mut ledgers = Ledgers::read(executor, &fleet.engines, &fleet.services).await?;
     ledgers.missing += usize::from(arguments.ledgers_lost);
-    let checked = check(&all, &ledgers);
+    let result = check(&records, &ledgers);
     let mut figures = json!({ "bench": arguments.name, "load": arguments.load });
-    for (top, bound) in tops.iter().zip(&bounds) {
-        figures[top.name] = judge(&arguments, &all, top, *bound, clock.0);
+    for (workload, bound) in workloads.iter().zip(&bounds) {
+        figures[workload.name] = summarize(&arguments, &records, workload, *bound, clock.0);
     }
     if let Some(path) = &arguments.faults {
-        figures["recovery"] = recoveries(path, &all, &tops, clock)?;
+        figures["recovery"] = recovery_figures(path, &records, &workloads, clock)?;
     }
-    figures["check"] = json!(checked);
+    figures["check"] = json!(result);
     println!("{figures}");
-    Ok(passed(&checked))
+    Ok(passed(&result))
 }
 
-fn passed(checked: &Checked) -> bool {
-    checked.passed()
+fn passed(result: &CheckResult) -> bool {
+    result.passed()
 }
 
-/// Most tokens a second that a pipeline's engines could give: its narrowest stage.
-fn bound(
+/// Returns the maximum tokens a second of a workload's pipeline: the sum over the engines of its
+/// slowest stage.
+fn throughput_bound(
     fleet: &Addresses,
     arguments: &ExperimentArguments,
-    top: &Top,
+    workload: &Workload,
     prompt_per_token: f64,
 ) -> f64 {
-    let mut stages = vec![0.0; usize::from(MODEL_LAYERS / STAGE_LAYERS)];
+    let mut stages = vec![0.0; usize::from(MODEL_LAYERS / LAYERS_PER_STAGE)];
     let slowed = arguments.slowed.as_deref().and_then(|text| text.split_once(':'));
     let is_lost = |number: usize| arguments.lost.split(',').any(|n| n == number.to_string());
     for (number, engine) in fleet.engine_specs.iter().enumerate() {
         let Some(kind) = find_kind(&engine.kind) else {
             continue;
         };
-        if engine.top != top.name || is_lost(number) {
+        if engine.top != workload.name || is_lost(number) {
             continue;
         }
-        let most = kind.max_tokens_per_s(usize::from(STAGE_LAYERS), prompt_per_token);
+        let tokens_per_s = kind.max_tokens_per_s(usize::from(LAYERS_PER_STAGE), prompt_per_token);
         let factor = match slowed {
             Some((kind, factor)) if kind == engine.kind => factor.parse().unwrap_or(1.0),
             _ => 1.0,
         };
-        stages[engine.stage] += most / (fleet.cost_factor * factor).max(1e-9);
+        stages[engine.stage] += tokens_per_s / (fleet.cost_factor * factor).max(1e-9);
     }
     stages.into_iter().fold(f64::INFINITY, f64::min)
 }
 
-/// One stream of arrivals.
-struct Stream {
-    top: Top,
+/// One open-loop stream of requests of a workload.
+struct ArrivalStream {
+    workload: Workload,
     rate: f64,
-    length: Duration,
+    duration: Duration,
     generate: bool,
     prompt: u32,
     answer: u32,
@@ -166,71 +179,75 @@
     name: String,
 }
 
-impl Stream {
+impl ArrivalStream {
     fn new(
         arguments: &ExperimentArguments,
-        top: Top,
+        workload: Workload,
         rate: f64,
         generate: bool,
-        salt: u64,
+        stream_number: u64,
     ) -> Self {
         Self {
-            top,
+            workload,
             rate,
-            length: Duration::from_secs_f64(arguments.seconds),
+            duration: Duration::from_secs_f64(arguments.seconds),
             generate,
             prompt: arguments.prompt,
             answer: arguments.answer,
             first_share: arguments.first_share,
             organisations: arguments.organisations,
-            rng: fastrand::Rng::with_seed(arguments.seed * 100 + salt),
+            rng: fastrand::Rng::with_seed(arguments.seed * 100 + stream_number),
             name: format!(
-                "{}-{}-{}-{}{salt}",
-                arguments.name, arguments.load, arguments.seed, top.name
+                "{}-{}-{}-{}{stream_number}",
+                arguments.name, arguments.load, arguments.seed, workload.name
             ),
         }
     }
 
-    async fn send(mut self, executor: Rc<LocalExecutor<'static>>, caller: Caller) -> Vec<Got> {
+    async fn send(
+        mut self,
+        executor: Rc<LocalExecutor<'static>>,
+        caller: Caller,
+    ) -> Vec<RequestRecord> {
         let started = Instant::now();
         let mut due = Duration::ZERO;
         let mut tasks = Vec::new();
         loop {
             due += Duration::from_secs_f64(-(1.0 - self.rng.f64()).ln() / self.rate);
-            if due > self.length {
+            if due > self.duration {
                 break;
             }
             Timer::at(started + due).await;
-            let (caller, work) = (caller.clone(), self.work(tasks.len()));
-            tasks.push(executor.spawn(async move { caller.carry(work).await }));
+            let (caller, spec) = (caller.clone(), self.next_request(tasks.len()));
+            tasks.push(executor.spawn(async move { caller.execute(spec).await }));
         }
-        let mut all = Vec::with_capacity(tasks.len());
+        let mut records = Vec::with_capacity(tasks.len());
         for task in tasks {
-            all.push(task.await);
+            records.push(task.await);
         }
-        all
+        records
     }
 
-    fn work(&mut self, number: usize) -> Work {
+    fn next_request(&mut self, number: usize) -> RequestSpec {
         let first = self.organisations == 1 || self.rng.f64() < self.first_share;
-        let other = if first { 0 } else { 1 + self.rng.usize(..self.organisations - 1) };
-        let organisation = organisation_name(self.top.name, other);
+        let index = if first { 0 } else { 1 + self.rng.usize(..self.organisations - 1) };
+        let organisation = organisation_name(self.workload.name, index);
         let words: Vec<String> =
             (0..self.prompt).map(|_| format!("w{}", self.rng.u32(..5000))).collect();
         let kind = match self.generate {
-            true => WorkKind::Generate {
-                pipeline: self.top.pipeline.to_owned(),
+            true => RequestKind::Generate {
+                pipeline: self.workload.pipeline.to_owned(),
                 prompt: words.join(" "),
                 max_tokens: self.answer,
                 priority: 4,
             },
-            false => WorkKind::Call {
-                service: self.top.repeatable_service.to_owned(),
+            false => RequestKind::Call {
+                service: self.workload.idempotent_service.to_owned(),
                 path: "do".to_owned(),
-                repeatable: true,
+                is_idempotent: true,
             },
         };
-        Work {
+        RequestSpec {
             key: organisation_key(&organisation),
             organisation,
             request_id: format!("{}-{number}", self.name),
@@ -239,60 +256,64 @@
     }
 }
 
-fn is_of(got: &Got, top: &Top) -> bool {
-    got.work.organisation.starts_with(top.name)
+fn belongs_to(record: &RequestRecord, workload: &Workload) -> bool {
+    record.spec.organisation.starts_with(workload.name)
 }
 
-fn is_answer(got: &Got) -> bool {
-    matches!(got.work.kind, WorkKind::Generate { .. })
+fn is_generation(record: &RequestRecord) -> bool {
+    matches!(record.spec.kind, RequestKind::Generate { .. })
 }
 
-/// Figures of one pipeline.
-fn judge(
+/// Returns the figures of one workload.
+fn summarize(
     arguments: &ExperimentArguments,
-    all: &[Got],
-    top: &Top,
+    records: &[RequestRecord],
+    workload: &Workload,
     bound: f64,
     started: Instant,
 ) -> Value {
-    let answers: Vec<&Got> = all.iter().filter(|g| is_of(g, top) && is_answer(g)).collect();
-    let calls = all.iter().filter(|g| is_of(g, top) && !is_answer(g));
-    // The first quarter warms up; what comes after the last arrival is not counted.
+    let answers: Vec<&RequestRecord> = records
+        .iter()
+        .filter(|record| belongs_to(record, workload) && is_generation(record))
+        .collect();
+    let calls =
+        records.iter().filter(|record| belongs_to(record, workload) && !is_generation(record));
+    // The first quarter is warm-up, and tokens after the last arrival are not counted.
     let window = (arguments.seconds * 0.25, arguments.seconds);
-    let goodput = goodput(&answers, started, window);
-    let mut firsts = Vec::new();
-    let mut gaps = Vec::new();
-    let mut longest = Vec::new();
-    let mut refused = Vec::new();
+    let goodput_tokens_per_s = goodput(&answers, started, window);
+    let mut first_token_us = Vec::new();
+    let mut gap_us = Vec::new();
+    let mut longest_gap_us = Vec::new();
+    let mut refused_after_us = Vec::new();
     let mut failures: BTreeMap<String, u64> = BTreeMap::new();
-    for got in &answers {
-        if let End::Failed { code, run } = &got.end {
+    for record in &answers {
+        if let Outcome::Failed { code, run } = &record.outcome {
             *failures.entry(format!("{code}:{run:?}")).or_default() += 1;
         }
-        refused.extend(got.refused_after.map(|after| after.as_micros() as u64));
-        if got.token_times.is_empty() {
+        refused_after_us.extend(record.refused_after.map(|after| after.as_micros() as u64));
+        if record.token_times.is_empty() {
             continue;
         }
-        firsts.push(micros(got.sent_at, got.token_times[0]));
-        let own: Vec<u64> = got.token_times.windows(2).map(|p| micros(p[0], p[1])).collect();
-        longest.extend(own.iter().max());
-        gaps.extend(own);
+        first_token_us.push(micros(record.sent_at, record.token_times[0]));
+        let own: Vec<u64> = record.token_times.windows(2).map(|p| micros(p[0], p[1])).collect();
+        longest_gap_us.extend(own.iter().max());
+        gap_us.extend(own);
     }
-    let call_times: Vec<u64> = calls.map(|got| micros(got.sent_at, got.ended_at)).collect();
+    let call_us: Vec<u64> = calls.map(|record| micros(record.sent_at, record.ended_at)).collect();
     json!({
         "bound_tokens_per_s": bound,
-        "goodput_tokens_per_s": goodput,
-        "share_of_bound": goodput / bound,
+        "goodput_tokens_per_s": goodput_tokens_per_s,
+        "share_of_bound": goodput_tokens_per_s / bound,
         "answers": answers.len(),
-        "whole": answers.iter().filter(|got| got.end == End::Whole).count(),
-        "resumed": answers.iter().filter(|got| got.tries > 1).count(),
+        "whole": answers.iter().filter(|record| record.outcome == Outcome::Complete).count(),
+        "resumed": answers.iter().filter(|record| record.tries > 1).count(),
         "failures": failures,
-        "first_token_us": spread(firsts),
-        "gap_us": spread(gaps),
-        "longest_gap_us": spread(longest),
-        "call_us": spread(call_times),
-        "refused_after_us": spread(refused),
-        "organisations": by_organisation(&answers, started, window),
+        "first_token_us": distribution(first_token_us),
+        "gap_us": distribution(gap_us),
+        "longest_gap_us": distribution(longest_gap_us),
+        "call_us": distribution(call_us),
+        "refused_after_us": distribution(refused_after_us),
+        "organisations": organisation_figures(&answers, started, window),
     })
 }
 
@@ -300,7 +321,7 @@
     to.saturating_duration_since(from).as_micros() as u64
 }
 
-fn spread(mut values: Vec<u64>) -> Value {
+fn distribution(mut values: Vec<u64>) -> Value {
     values.sort_unstable();
     json!({
         "p50": quantile(&values, 0.5),
@@ -310,25 +331,26 @@
     })
 }
 
-/// Tokens a second, in a window of seconds, of answers that came whole.
-fn goodput(answers: &[&Got], started: Instant, window: (f64, f64)) -> f64 {
+/// Returns the tokens a second of complete answers, within a window in seconds after `started`.
+fn goodput(answers: &[&RequestRecord], started: Instant, window: (f64, f64)) -> f64 {
     let from = started + Duration::from_secs_f64(window.0);
     let to = started + Duration::from_secs_f64(window.1);
-    let whole = answers.iter().filter(|got| got.end == End::Whole);
-    let tokens = whole.flat_map(|got| &got.token_times).filter(|t| **t >= from && **t < to).count();
+    let complete = answers.iter().filter(|record| record.outcome == Outcome::Complete);
+    let tokens =
+        complete.flat_map(|record| &record.token_times).filter(|t| **t >= from && **t < to).count();
     tokens as f64 / (window.1 - window.0)
 }
 
-/// First organisation against the others: answers, goodput and first token.
-fn by_organisation(answers: &[&Got], started: Instant, window: (f64, f64)) -> Value {
-    let mut groups: BTreeMap<&str, Vec<&Got>> = BTreeMap::new();
-    for got in answers {
-        groups.entry(&got.work.organisation).or_default().push(got);
+/// Compares the first organisation with the others: answers, goodput and time to first token.
+fn organisation_figures(answers: &[&RequestRecord], started: Instant, window: (f64, f64)) -> Value {
+    let mut groups: BTreeMap<&str, Vec<&RequestRecord>> = BTreeMap::new();
+    for record in answers {
+        groups.entry(&record.spec.organisation).or_default().push(record);
     }
     let mut rates = Vec::new();
-    let mut quiet_firsts = Vec::new();
-    let mut quiet_failed = 0;
-    let mut quiet = 0;
+    let mut other_first_token_us = Vec::new();
+    let mut other_failed = 0;
+    let mut other_answers = 0;
     let mut first_rate = 0.0;
     for (name, own) in &groups {
         let rate = goodput(own, started, window);
@@ -337,18 +359,19 @@
             first_rate = rate;
             continue;
         }
-        for got in own {
-            quiet += 1;
-            quiet_failed += u64::from(got.end != End::Whole);
-            quiet_firsts.extend(got.token_times.first().map(|t| micros(got.sent_at, *t)));
+        for record in own {
+            other_answers += 1;
+            other_failed += u64::from(record.outcome != Outcome::Complete);
+            other_first_token_us
+                .extend(record.token_times.first().map(|t| micros(record.sent_at, *t)));
         }
     }
     let (sum, squares) = rates.iter().fold((0.0, 0.0), |(s, q), r| (s + r, q + r * r));
     json!({
         "first_goodput_tokens_per_s": first_rate,
-        "quiet_answers": quiet,
-        "quiet_failed": quiet_failed,
-        "quiet_first_token_us": spread(quiet_firsts),
+        "quiet_answers": other_answers,
+        "quiet_failed": other_failed,
+        "quiet_first_token_us": distribution(other_first_token_us),
         "jain_index": if squares > 0.0 { sum * sum / (rates.len() as f64 * squares) } else { 0.0 },
     })
 }
--- a/crates/sillbank_load/src/fleet.rs
+++ b/crates/sillbank_load/src/fleet.rs
@@ -1,8 +1,8 @@
-//! Lays out a local fleet on loopback: settings of every process, objects of the tree, and the
-//! commands that start it. It starts nothing itself.
+//! Writes the files of a local fleet on loopback: settings of every process, objects of the
+//! tree, and the commands that start the processes. It does not start them.
 
 use crate::Verdict;
-use crate::mix::{BOTH, ORGANISATIONS, Top, organisation_key, organisation_name};
+use crate::mix::{ORGANISATIONS, WORKLOADS, Workload, organisation_key, organisation_name};
 use argh::FromArgs;
 use serde::{Deserialize, Serialize};
 use sillbank_settings::objects::hash_key;
@@ -13,10 +13,10 @@
 /// Layers of the stand-in model.
 pub const MODEL_LAYERS: u16 = 24;
 /// Layers of one stage.
-pub const STAGE_LAYERS: u16 = 8;
-/// Key of the operator of a local fleet.
+pub const LAYERS_PER_STAGE: u16 = 8;
+/// Key of a local fleet's operator.
 pub const OPERATOR_KEY: &str = "local-operator-key";
-/// Key that local VMs share.
+/// Peer key shared by the VMs of a local fleet.
 const PEER_KEY: &str = "local-peer-key-0001";
 
 /// Write the settings of a local fleet.
@@ -26,93 +26,96 @@
     /// folder to write to
     #[argh(option)]
     pub out: PathBuf,
-    /// folder of the built programs
+    /// folder with the built programs
     #[argh(option)]
     pub programs: PathBuf,
-    /// data halls
+    /// number of data halls
     #[argh(option, default = "3")]
     pub halls: usize,
-    /// entry VMs
+    /// number of entry VMs
     #[argh(option, default = "9")]
     pub vms: usize,
-    /// model engines
+    /// number of model engines
     #[argh(option, default = "40")]
     pub engines: usize,
-    /// factor on the engines' costs
+    /// factor on the costs of the engines
     #[argh(option, default = "1.0")]
     pub cost_factor: f64,
-    /// policy for the choice of chains
+    /// policy that chooses chains
     #[argh(option, default = "String::from(\"least_finish\")")]
     pub chain_policy: String,
-    /// term of the lease of a slot of keys, in milliseconds
+    /// term of the lease on a slot of idempotency keys, in milliseconds
     #[argh(option, default = "60000")]
     pub once_term_ms: u64,
-    /// how long a key is remembered, in milliseconds
+    /// retention of an idempotency key, in milliseconds
     #[argh(option, default = "600000")]
     pub once_retention_ms: u64,
-    /// lines added to the tree, such as a pipeline's settings
+    /// TOML lines added to the objects of the tree, such as a pipeline's settings
     #[argh(option, default = "String::new()")]
     pub tree: String,
-    /// put a link before every engine
+    /// put a link stand-in in front of every engine
     #[argh(switch)]
     pub links: bool,
-    /// leave the entries out
+    /// write no entry processes
     #[argh(switch)]
     pub no_entries: bool,
-    /// organisations of each user
+    /// number of organisations of each user
     #[argh(option, default = "ORGANISATIONS")]
     pub organisations: usize,
-    /// writes a second that the platform takes
+    /// writes a second that the platform accepts
     #[argh(option, default = "300.0")]
     pub platform_writes_per_s: f64,
-    /// time that requests in flight have when an entry is stopped, in milliseconds
+    /// time limit for requests in flight when an entry is stopped, in milliseconds
     #[argh(option, default = "30000")]
     pub stop_limit_ms: u64,
-    /// first port to look at for free ones
+    /// first port of the search for free ports
     #[argh(option, default = "12000")]
     pub first_port: u16,
 }
 
-/// Where the processes of a fleet listen.
+/// Listen addresses of a fleet's processes, as `addresses.json` holds them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Addresses {
-    /// The platform.
+    /// Platform stand-in.
     pub platform: Option<SocketAddr>,
-    /// Where callers come, by VM.
+    /// Addresses for callers, by VM.
     pub entries: Vec<SocketAddr>,
-    /// Health and metrics of entries, by VM.
+    /// Health and metrics addresses of entries, by VM.
     pub entry_admins: Vec<SocketAddr>,
-    /// Administration interfaces, by VM.
+    /// Administration addresses of control processes, by VM.
     pub control_admins: Vec<SocketAddr>,
-    /// Slots of keys that are held once all VMs are up.
+    /// Number of slots of idempotency keys that are held once all VMs are up.
     pub slots: usize,
-    /// Where entries and peers come to control, by VM.
+    /// Addresses of control processes for entries and peers, by VM.
     pub controls: Vec<SocketAddr>,
     /// Model engines.
     pub engines: Vec<SocketAddr>,
-    /// Commands of the links before the engines, if there are any.
+    /// Administration addresses of the links in front of the engines, if there are any.
     pub links: Vec<SocketAddr>,
-    /// What each engine is, in the same order.
+    /// Specification of each engine, in the order of `engines`.
     pub engine_specs: Vec<EngineSpec>,
-    /// Factor on the engines' costs.
+    /// Factor on the costs of the engines.
     pub cost_factor: f64,
     /// Plain services.
     pub services: Vec<SocketAddr>,
 }
 
-/// What an engine of the fleet is.
+/// Specification of an engine of the fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// User whose pipeline it serves.
+    /// User whose pipeline the engine serves.
     pub top: String,
-    /// Stage it holds, from 0.
+    /// Number of its stage, from 0.
     pub stage: usize,
     /// Accelerator kind.
     pub kind: String,
 }
 
 impl Addresses {
-    /// Reads what `write` wrote.
+    /// Reads `addresses.json` from the folder that [`write`] wrote to.
+    ///
+    /// # Errors
+    /// If the file cannot be read or parsed.
     pub fn read(folder: &Path) -> Result<Self, Box<dyn std::error::Error>> {
         let text = std::fs::read_to_string(folder.join("addresses.json"))?;
         Ok(serde_json::from_str(&text)?)
@@ -120,7 +123,7 @@
 }
 
 impl FleetArguments {
-    /// A fleet of the usual size, as the command line gives it.
+    /// Creates arguments with the defaults of the command line.
     pub fn new(out: PathBuf, programs: PathBuf) -> Self {
         Self {
             out,
@@ -143,13 +146,13 @@
     }
 }
 
-/// Finds free ports, each once.
-struct Ports {
+/// Returns free loopback ports, each once, by trying to bind them in ascending order.
+struct PortAllocator {
     next: u16,
 }
 
-impl Ports {
-    fn take(&mut self) -> SocketAddr {
+impl PortAllocator {
+    fn next_free(&mut self) -> SocketAddr {
         loop {
             let address = SocketAddr::from(([127, 0, 0, 1], self.next));
             self.next += 1;
@@ -162,19 +165,23 @@
     }
 }
 
-struct Layout<'a> {
+/// Collects the addresses and commands of a fleet while its files are written.
+struct FleetBuilder<'a> {
     arguments: &'a FleetArguments,
-    ports: Ports,
+    ports: PortAllocator,
     addresses: Addresses,
     commands: Vec<String>,
 }
 
-/// Writes everything.
+/// Writes the settings, objects, addresses and commands of a fleet.
+///
+/// # Errors
+/// If a file cannot be written.
 pub fn write(arguments: &FleetArguments) -> Verdict {
     std::fs::create_dir_all(arguments.out.join("objects"))?;
-    let mut layout = Layout {
+    let mut builder = FleetBuilder {
         arguments,
-        ports: Ports { next: arguments.first_port },
+        ports: PortAllocator { next: arguments.first_port },
         addresses: Addresses {
             slots: slot_count(arguments),
             cost_factor: arguments.cost_factor,
@@ -182,102 +189,102 @@
         },
         commands: Vec::new(),
     };
-    let platform = layout.platform();
+    let platform = builder.add_platform();
     let mut objects = tree_objects(arguments.organisations);
     objects.push_str(&arguments.tree.replace("\\n", "\n"));
-    objects.push_str(&layout.engines());
-    objects.push_str(&layout.services());
-    layout.vms(platform)?;
+    objects.push_str(&builder.add_engines());
+    objects.push_str(&builder.add_services());
+    builder.add_vms(platform)?;
     let out = &arguments.out;
     std::fs::write(out.join("objects/fleet.toml"), objects)?;
-    std::fs::write(out.join("addresses.json"), serde_json::to_string(&layout.addresses)?)?;
-    std::fs::write(out.join("commands.txt"), layout.commands.join("\n") + "\n")?;
+    std::fs::write(out.join("addresses.json"), serde_json::to_string(&builder.addresses)?)?;
+    std::fs::write(out.join("commands.txt"), builder.commands.join("\n") + "\n")?;
     Ok(true)
 }
 
-impl Layout<'_> {
-    /// Adds a process: its name, then its command.
-    fn command(&mut self, name: &str, program: &str, rest: &str) {
+impl FleetBuilder<'_> {
+    /// Adds a line `NAME COMMAND` for a process.
+    fn add_process(&mut self, name: &str, program: &str, flags: &str) {
         let program = self.arguments.programs.join(program);
-        self.commands.push(format!("{name} {} {rest}", program.display()));
+        self.commands.push(format!("{name} {} {flags}", program.display()));
     }
 
-    fn platform(&mut self) -> SocketAddr {
-        let address = self.ports.take();
+    fn add_platform(&mut self) -> SocketAddr {
+        let address = self.ports.next_free();
         self.addresses.platform = Some(address);
         let writes = self.arguments.platform_writes_per_s;
-        let rest = format!("platform --listen {address} --writes-per-s {writes}");
-        self.command("platform", "sillbank-standin", &rest);
+        let flags = format!("platform --listen {address} --writes-per-s {writes}");
+        self.add_process("platform", "sillbank-standin", &flags);
         address
     }
 
-    fn engines(&mut self) -> String {
+    fn add_engines(&mut self) -> String {
         let mut objects = String::new();
-        let stages = usize::from(MODEL_LAYERS / STAGE_LAYERS);
+        let stages = usize::from(MODEL_LAYERS / LAYERS_PER_STAGE);
         for number in 0..self.arguments.engines {
-            let top = BOTH[number % BOTH.len()];
-            let stage = (number / BOTH.len()) % stages;
-            let kind = format!("k{}", (number / BOTH.len()) % 5 + 1);
-            // Every hall gets whole chains.
-            let group = number / (BOTH.len() * stages);
+            let workload = WORKLOADS[number % WORKLOADS.len()];
+            let stage = (number / WORKLOADS.len()) % stages;
+            let kind = format!("k{}", (number / WORKLOADS.len()) % 5 + 1);
+            // Each group of engines is one complete chain of every pipeline, in one hall.
+            let group = number / (WORKLOADS.len() * stages);
             let hall = format!("hall{}", group % self.arguments.halls + 1);
-            let first = stage as u16 * STAGE_LAYERS;
-            let end = first + STAGE_LAYERS;
-            let address = self.ports.take();
+            let first = stage as u16 * LAYERS_PER_STAGE;
+            let end = first + LAYERS_PER_STAGE;
+            let address = self.ports.next_free();
             self.addresses.engines.push(address);
-            let spec = EngineSpec { top: top.name.to_owned(), stage, kind: kind.clone() };
+            let spec = EngineSpec { top: workload.name.to_owned(), stage, kind: kind.clone() };
             self.addresses.engine_specs.push(spec);
             let cost = self.arguments.cost_factor;
-            let rest = format!(
+            let flags = format!(
                 "engine --listen {address} --kind {kind} --first-layer {first} --end-layer {end} \
                  --model-layers {MODEL_LAYERS} --cost-factor {cost}"
             );
-            self.command(&format!("engine{number}"), "sillbank-standin", &rest);
-            let address = self.link(number, address);
+            self.add_process(&format!("engine{number}"), "sillbank-standin", &flags);
+            let address = self.add_link(number, address);
             writeln!(
                 objects,
                 "[endpoint.engine{number}]\nparent = \"/{}/{hall}\"\nhall = \"{hall}\"\n\
                  kind = \"{kind}\"\npipeline = \"{}\"\nfirst_layer = {first}\n\
                  end_layer = {end}\naddress = \"{address}\"\n",
-                top.name, top.pipeline,
+                workload.name, workload.pipeline,
             )
             .ok();
         }
         objects
     }
 
-    /// Puts a link before an engine, if asked to; answers where the engine is reached.
-    fn link(&mut self, number: usize, engine: SocketAddr) -> SocketAddr {
+    /// Adds a link in front of an engine if links are enabled; returns the address for callers.
+    fn add_link(&mut self, number: usize, engine: SocketAddr) -> SocketAddr {
         if !self.arguments.links {
             return engine;
         }
-        let (listen, admin) = (self.ports.take(), self.ports.take());
+        let (listen, admin) = (self.ports.next_free(), self.ports.next_free());
         self.addresses.links.push(admin);
-        let rest = format!("link --listen {listen} --to {engine} --admin-listen {admin}");
-        self.command(&format!("link{number}"), "sillbank-standin", &rest);
+        let flags = format!("link --listen {listen} --to {engine} --admin-listen {admin}");
+        self.add_process(&format!("link{number}"), "sillbank-standin", &flags);
         listen
     }
 
-    fn services(&mut self) -> String {
-        let mut runners = Vec::new();
+    fn add_services(&mut self) -> String {
+        let mut service_addresses = Vec::new();
         for number in 0..3 {
-            let address = self.ports.take();
+            let address = self.ports.next_free();
             self.addresses.services.push(address);
-            runners.push(format!("\"{address}\""));
-            let rest = format!("service --listen {address}");
-            self.command(&format!("service{number}"), "sillbank-standin", &rest);
+            service_addresses.push(format!("\"{address}\""));
+            let flags = format!("service --listen {address}");
+            self.add_process(&format!("service{number}"), "sillbank-standin", &flags);
         }
         let mut objects = String::new();
-        for top in BOTH {
+        for workload in WORKLOADS {
             for (service, repeatable) in
-                [(top.repeatable_service, true), (top.keyed_service, false)]
+                [(workload.idempotent_service, true), (workload.keyed_service, false)]
             {
                 writeln!(
                     objects,
                     "[service.{service}]\nparent = \"/{}\"\naddresses = [{}]\n\
                      repeatable = {repeatable}\n",
-                    top.name,
-                    runners.join(", "),
+                    workload.name,
+                    service_addresses.join(", "),
                 )
                 .ok();
             }
@@ -285,19 +292,19 @@
         objects
     }
 
-    fn vms(&mut self, platform: SocketAddr) -> std::io::Result<()> {
+    fn add_vms(&mut self, platform: SocketAddr) -> std::io::Result<()> {
         let mut gossip = Vec::new();
         for _ in 0..self.arguments.vms {
-            gossip.push(self.ports.take());
+            gossip.push(self.ports.next_free());
         }
         let seeds: Vec<String> = gossip.iter().take(3).map(|a| format!("\"{a}\"")).collect();
         for (number, gossip_listen) in gossip.iter().enumerate() {
             let hall = format!("hall{}", number % self.arguments.halls + 1);
             let vm = format!("vm{number}");
-            let control = self.ports.take();
-            let control_admin = self.ports.take();
-            let listen = self.ports.take();
-            let admin = self.ports.take();
+            let control = self.ports.next_free();
+            let control_admin = self.ports.next_free();
+            let listen = self.ports.next_free();
+            let admin = self.ports.next_free();
             let text = format!(
                 "role = \"control\"\nvm = \"{vm}\"\nhall = \"{hall}\"\nlisten = \"{control}\"\n\
                  gossip_listen = \"{gossip_listen}\"\nadmin_listen = \"{control_admin}\"\n\
@@ -310,7 +317,7 @@
                 self.arguments.once_term_ms,
                 self.arguments.once_retention_ms,
             );
-            self.process("sillbank-control", &format!("control{number}"), &text)?;
+            self.add_process_with_settings("sillbank-control", &format!("control{number}"), &text)?;
             self.addresses.controls.push(control);
             self.addresses.control_admins.push(control_admin);
             if self.arguments.no_entries {
@@ -322,50 +329,56 @@
                  stop_limit_ms = {}\n",
                 self.arguments.chain_policy, self.arguments.stop_limit_ms,
             );
-            self.process("sillbank-entry", &format!("entry{number}"), &text)?;
+            self.add_process_with_settings("sillbank-entry", &format!("entry{number}"), &text)?;
             self.addresses.entries.push(listen);
             self.addresses.entry_admins.push(admin);
         }
         Ok(())
     }
 
-    fn process(&mut self, program: &str, name: &str, settings: &str) -> std::io::Result<()> {
+    /// Adds a process that is started with a settings file.
+    fn add_process_with_settings(
+        &mut self,
+        program: &str,
+        name: &str,
+        settings: &str,
+    ) -> std::io::Result<()> {
         let path = self.arguments.out.join(format!("{name}.toml"));
         std::fs::write(&path, settings)?;
-        self.command(name, program, &format!("--settings {}", path.display()));
+        self.add_process(name, program, &format!("--settings {}", path.display()));
         Ok(())
     }
 }
 
-/// Slots of keys that some VM holds in the end.
+/// Returns the number of slots of idempotency keys of the fleet.
 fn slot_count(arguments: &FleetArguments) -> usize {
     let halls = arguments.halls.min(arguments.vms);
     (sillbank_once::key::FLEET_SLOTS + halls as u64 * sillbank_once::key::HALL_SLOTS) as usize
 }
 
-/// Nodes, pipelines and organisations.
+/// Returns the nodes, pipelines and organisations of the tree, as TOML.
 fn tree_objects(organisations: usize) -> String {
     let mut text = String::from("[node.\"/\".settings]\ndeadline_ms = 60000\n\n");
-    for top in BOTH {
-        write_top(&mut text, top, organisations);
+    for workload in WORKLOADS {
+        write_workload(&mut text, workload, organisations);
     }
     text
 }
 
-fn write_top(text: &mut String, top: &Top, organisations: usize) {
-    writeln!(text, "[node.\"/{}\".settings]\npriority = 4\n", top.name).ok();
+fn write_workload(text: &mut String, workload: &Workload, organisations: usize) {
+    writeln!(text, "[node.\"/{}\".settings]\npriority = 4\n", workload.name).ok();
     writeln!(
         text,
         "[pipeline.{}]\nparent = \"/{}\"\nlayers = {MODEL_LAYERS}\n",
-        top.pipeline, top.name
+        workload.pipeline, workload.name
     )
     .ok();
     for number in 0..organisations {
-        let name = organisation_name(top.name, number);
+        let name = organisation_name(workload.name, number);
         writeln!(
             text,
             "[organisation.{name}]\nparent = \"/{}\"\nkey_hashes = [\"{}\"]\n",
-            top.name,
+            workload.name,
             hash_key(&organisation_key(&name)),
         )
         .ok();
--- a/crates/sillbank_load/src/hop.rs
+++ b/crates/sillbank_load/src/hop.rs
@@ -1,10 +1,11 @@
-//! The hop bench: what sillbank adds to a client that drives the same engines directly.
+//! The hop benchmark: processor time and latency that sillbank adds, compared with a client that
+//! calls the same engines directly.
 
 use crate::Verdict;
-use crate::client::{Caller, End};
+use crate::client::{Caller, Outcome};
 use crate::direct::{DirectEngine, generate};
 use crate::fleet::Addresses;
-use crate::mix::{MARKET, Work, WorkKind, organisation_key, organisation_name};
+use crate::mix::{MARKET, RequestKind, RequestSpec, organisation_key, organisation_name};
 use crate::process::cpu_time;
 use crate::report::quantile;
 use argh::FromArgs;
@@ -23,7 +24,7 @@
 /// Tokens of each answer.
 const ANSWER_TOKENS: u32 = 200;
 
-/// Measure processor time a hop and added latency a token against a direct client.
+/// Measure processor time per hop and added latency per token, compared with a direct client.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hop")]
 pub struct HopArguments {
@@ -36,12 +37,12 @@
     /// requests in flight
     #[argh(option, default = "64")]
     in_flight: usize,
-    /// pairs of rounds, direct and through the entry
+    /// number of pairs of rounds: one direct, one through the entry
     #[argh(option, default = "5")]
     rounds: u32,
 }
 
-/// What one round measured.
+/// Measurements of one round.
 #[derive(Default)]
 struct Round {
     gaps_us: Vec<u64>,
@@ -50,21 +51,21 @@
     failed: usize,
 }
 
-/// Runs the bench.
+/// Runs the benchmark.
 ///
 /// # Errors
-/// What hindered it.
-pub async fn hop(executor: Rc<LocalExecutor<'static>>, arguments: HopArguments) -> Verdict {
+/// If the fleet's files cannot be read or a process does not respond.
+pub async fn run(executor: Rc<LocalExecutor<'static>>, arguments: HopArguments) -> Verdict {
     let fleet = Addresses::read(&arguments.fleet)?;
     let mut direct = Vec::new();
     let mut routed = Vec::new();
     for number in 0..=arguments.rounds {
-        let one = direct_round(&executor, &fleet, &arguments, number).await?;
-        let other = routed_round(&executor, &fleet, &arguments, number).await?;
-        // The first pair warms up and is not counted.
+        let direct_result = direct_round(&executor, &fleet, &arguments, number).await?;
+        let routed_result = routed_round(&executor, &fleet, &arguments, number).await?;
+        // The first pair is warm-up and is not counted.
         if number > 0 {
-            direct.push(one);
-            routed.push(other);
+            direct.push(direct_result);
+            routed.push(routed_result);
         }
     }
     let gaps = |rounds: &[Round]| -> Vec<u64> {
@@ -102,7 +103,7 @@
     quantile(a, q) as i64 - quantile(b, q) as i64
 }
 
-/// Gaps between tokens, leaving out each answer's first.
+/// Returns the gaps between the tokens of an answer, without the time to the first token.
 fn gaps_us(times: &[Instant]) -> impl Iterator<Item = u64> {
     times.windows(2).map(|pair| pair[1].duration_since(pair[0]).as_micros() as u64)
 }
@@ -147,36 +148,36 @@
 ) -> Result<Round, Box<dyn std::error::Error>> {
     let deadline = Duration::from_secs(60);
     let caller = Caller::new(executor.clone(), fleet.entries.clone(), 1, deadline);
-    let steps_before = steps(executor, fleet).await?;
+    let count_before = steps_sent(executor, fleet).await?;
     let cpu_before = cpu_time(arguments.entry_pid);
     let tasks: Vec<_> = (0..arguments.in_flight)
         .map(|task| {
             let caller = caller.clone();
-            let work = routed_work(number, task);
-            executor.spawn(async move { caller.carry(work).await })
+            let spec = routed_request(number, task);
+            executor.spawn(async move { caller.execute(spec).await })
         })
         .collect();
     let mut round = Round::default();
     for task in tasks {
-        let got = task.await;
-        round.tokens += got.token_times.len();
-        round.failed += usize::from(got.end != End::Whole);
-        round.gaps_us.extend(gaps_us(&got.token_times));
+        let record = task.await;
+        round.tokens += record.token_times.len();
+        round.failed += usize::from(record.outcome != Outcome::Complete);
+        round.gaps_us.extend(gaps_us(&record.token_times));
     }
     let cpu = cpu_time(arguments.entry_pid).zip(cpu_before).map(|(after, before)| after - before);
-    let steps = steps(executor, fleet).await? - steps_before;
-    round.hop_ns = cpu.map(|cpu| cpu.as_nanos() as f64 / steps.max(1) as f64);
+    let count = steps_sent(executor, fleet).await? - count_before;
+    round.hop_ns = cpu.map(|cpu| cpu.as_nanos() as f64 / count.max(1) as f64);
     Ok(round)
 }
 
-fn routed_work(number: u32, task: usize) -> Work {
+fn routed_request(number: u32, task: usize) -> RequestSpec {
     let organisation = organisation_name(MARKET.name, task % 8);
     let prompt: Vec<String> = (0..PROMPT_WORDS).map(|word| format!("w{word}")).collect();
-    Work {
+    RequestSpec {
         key: organisation_key(&organisation),
         organisation,
         request_id: format!("hop-{number}-{task}"),
-        kind: WorkKind::Generate {
+        kind: RequestKind::Generate {
             pipeline: MARKET.pipeline.to_owned(),
             prompt: prompt.join(" "),
             max_tokens: ANSWER_TOKENS,
@@ -185,8 +186,8 @@
     }
 }
 
-/// Steps the entry has sent so far.
-async fn steps(
+/// Returns the number of steps that the entry has sent so far.
+async fn steps_sent(
     executor: &Rc<LocalExecutor<'static>>,
     fleet: &Addresses,
 ) -> Result<u64, Box<dyn std::error::Error>> {
--- a/crates/sillbank_load/src/lib.rs
+++ b/crates/sillbank_load/src/lib.rs
@@ -1,6 +1,6 @@
-//! Load, experiments and checks: callers as client libraries behave, an open-loop driver, a
-//! ledger check, and the layout of a local fleet. The program `sillbank-load` is a thin driver
-//! of this; scripted scenarios use it too.
+//! Load generation, experiments and checks: callers that retry and resume as client libraries
+//! do, an open-loop load generator, a ledger check, and the files of a local fleet. The program
+//! `sillbank-load` and the scripted scenarios are built on this library.
 
 #![forbid(unsafe_code)]
 
--- a/crates/sillbank_load/src/main.rs
+++ b/crates/sillbank_load/src/main.rs
@@ -1,5 +1,5 @@
-//! `sillbank-load`: open-loop load, experiments, and a check of what callers got against what
-//! the back ends ran.
+//! `sillbank-load`: open-loop load, experiments, and a check of callers' results against the
+//! ledgers of the back ends.
 
 #![forbid(unsafe_code)]
 
@@ -58,11 +58,11 @@
         Some(Command::Experiment(arguments)) => experiment::run(executor, arguments).await,
         Some(Command::Fleet(arguments)) => fleet::write(&arguments),
         Some(Command::AtMostOnce(arguments)) => once_bench::run(executor, arguments).await,
-        Some(Command::Hop(arguments)) => hop::hop(executor, arguments).await,
+        Some(Command::Hop(arguments)) => hop::run(executor, arguments).await,
         Some(Command::Control(arguments)) => control_bench::run(executor, arguments).await,
         Some(Command::Settings(arguments)) => settings_bench::run(executor, arguments).await,
         Some(Command::Run(arguments)) => run::run(executor, arguments).await,
-        Some(Command::Wait(arguments)) => wait::wait(executor, arguments).await,
+        Some(Command::Wait(arguments)) => wait::run(executor, arguments).await,
         None => Err("name a command; see --help".into()),
     }
 }
--- a/crates/sillbank_load/src/once_bench.rs
+++ b/crates/sillbank_load/src/once_bench.rs
@@ -1,5 +1,5 @@
-//! The at-most-once bench: keyed calls, each tried several times at several VMs, while others
-//! kill, freeze and cut.
+//! The at-most-once benchmark: calls with idempotency keys, each tried several times at several
+//! VMs, while `tools/bench.sh` kills and freezes processes and takes the platform down.
 
 use crate::Verdict;
 use crate::check::Ledgers;
@@ -19,56 +19,57 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time a try may take.
+/// Timeout of one try.
 const TRY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Send keyed calls, each several times, and check that none ran twice.
+/// Send calls with idempotency keys, each several times, and check that none ran twice.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "atmostonce")]
 pub struct OnceArguments {
     /// folder that `sillbank-load fleet` wrote
     #[argh(option)]
     fleet: PathBuf,
-    /// calls
+    /// number of calls
     #[argh(option, default = "4000")]
     calls: u32,
     /// calls a second
     #[argh(option, default = "200.0")]
     rate: f64,
-    /// seed
+    /// seed of the random generator
     #[argh(option, default = "1")]
     seed: u64,
 }
 
-/// How one try ended.
+/// Outcome of one try.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Tried {
+enum TryOutcome {
     Done,
     Failed(String, RunState),
-    NoAnswer,
+    NoReply,
 }
 
-/// One key with all its tries.
+/// One idempotency key with all its tries.
 struct Call {
     uid: RequestUid,
     minted: bool,
-    tries: Vec<Tried>,
+    tries: Vec<TryOutcome>,
 }
 
+/// Sends calls with idempotency keys to random entries.
 #[derive(Clone)]
-struct Sender {
+struct KeyedCaller {
     http: HttpClient,
     entries: Rc<Vec<SocketAddr>>,
     rng: Rc<RefCell<fastrand::Rng>>,
 }
 
-/// Runs the bench.
+/// Runs the benchmark.
 ///
 /// # Errors
-/// What hindered it.
+/// If the fleet's files or a ledger cannot be read.
 pub async fn run(executor: Rc<LocalExecutor<'static>>, arguments: OnceArguments) -> Verdict {
     let fleet = Addresses::read(&arguments.fleet)?;
-    let sender = Sender {
+    let caller = KeyedCaller {
         http: HttpClient::new(executor.clone(), 1 << 20),
         entries: Rc::new(fleet.entries.clone()),
         rng: Rc::new(RefCell::new(fastrand::Rng::with_seed(arguments.seed))),
@@ -77,20 +78,20 @@
     let mut tasks = Vec::new();
     for number in 0..arguments.calls {
         Timer::at(started + Duration::from_secs_f64(f64::from(number) / arguments.rate)).await;
-        let (sender, spawner) = (sender.clone(), executor.clone());
-        tasks.push(executor.spawn(async move { sender.call(&spawner, number).await }));
+        let (caller, spawner) = (caller.clone(), executor.clone());
+        tasks.push(executor.spawn(async move { caller.call(&spawner, number).await }));
     }
     let mut calls = Vec::new();
     for task in tasks {
         calls.push(task.await);
     }
     let ledgers = Ledgers::read(executor, &[], &fleet.services).await?;
-    let figures = judge(&calls, &ledgers);
+    let figures = summarize(&calls, &ledgers);
     println!("{figures}");
     Ok(figures["ran_twice"] == 0 && figures["false_not_run"] == 0)
 }
 
-fn judge(calls: &[Call], ledgers: &Ledgers) -> serde_json::Value {
+fn summarize(calls: &[Call], ledgers: &Ledgers) -> serde_json::Value {
     let (mut twice, mut false_not_run, mut done, mut lost) = (0, 0, 0, 0);
     let (mut refused, mut refused_minted, mut minted, mut tries) = (0, 0, 0, 0);
     let mut answers: BTreeMap<String, u64> = BTreeMap::new();
@@ -99,8 +100,9 @@
         tries += call.tries.len();
         minted += u32::from(call.minted);
         twice += u32::from(ran > 1);
-        let is_done = call.tries.contains(&Tried::Done);
-        let not_run = |tried: &Tried| matches!(tried, Tried::Failed(_, RunState::NotRun));
+        let is_done = call.tries.contains(&TryOutcome::Done);
+        let not_run =
+            |outcome: &TryOutcome| matches!(outcome, TryOutcome::Failed(_, RunState::NotRun));
         false_not_run += u32::from(ran > 0 && call.tries.iter().all(not_run));
         lost += u32::from(is_done && ran == 0);
         done += u32::from(is_done);
@@ -108,11 +110,11 @@
             refused += 1;
             refused_minted += u32::from(call.minted);
         }
-        for tried in &call.tries {
-            let name = match tried {
-                Tried::Done => "done".to_owned(),
-                Tried::NoAnswer => "no answer".to_owned(),
-                Tried::Failed(code, run) => format!("{code}:{run:?}"),
+        for outcome in &call.tries {
+            let name = match outcome {
+                TryOutcome::Done => "done".to_owned(),
+                TryOutcome::NoReply => "no answer".to_owned(),
+                TryOutcome::Failed(code, run) => format!("{code}:{run:?}"),
             };
             *answers.entry(name).or_default() += 1;
         }
@@ -133,8 +135,9 @@
     })
 }
 
-impl Sender {
-    /// Tries one key at two VMs at once, then at a third a little later.
+impl KeyedCaller {
+    /// Sends one call with the same key twice at the same time, then once more after 0.1 to 2.5 s,
+    /// each to a random entry.
     async fn call(&self, executor: &Rc<LocalExecutor<'static>>, number: u32) -> Call {
         let organisation = organisation_name(MARKET.name, number as usize % 10);
         let key = organisation_key(&organisation);
@@ -142,14 +145,14 @@
         let is_minted = minted.is_some();
         let id = minted.unwrap_or_else(|| format!("once-{number}"));
         let uid = RequestUid::derive(&organisation, &id);
-        let both: Vec<_> = (0..2)
+        let concurrent: Vec<_> = (0..2)
             .map(|_| {
-                let (sender, key, id) = (self.clone(), key.clone(), id.clone());
-                executor.spawn(async move { sender.try_once(&key, &id).await })
+                let (caller, key, id) = (self.clone(), key.clone(), id.clone());
+                executor.spawn(async move { caller.try_once(&key, &id).await })
             })
             .collect();
         let mut tries = Vec::new();
-        for task in both {
+        for task in concurrent {
             tries.push(task.await);
         }
         let pause_ms = self.rng.borrow_mut().u64(100..2500);
@@ -177,7 +180,7 @@
         None
     }
 
-    async fn try_once(&self, key: &str, id: &str) -> Tried {
+    async fn try_once(&self, key: &str, id: &str) -> TryOutcome {
         let path = format!("/v1/services/{}/book", MARKET.keyed_service);
         let mut call = request(Method::POST, &path, Bytes::from_static(b"{}"));
         let headers = call.headers_mut();
@@ -186,17 +189,17 @@
             headers.insert("x-request-id", id);
         }
         match self.http.call(self.entry(), call, TRY_TIMEOUT).await {
-            Ok(reply) if reply.status.is_success() => Tried::Done,
+            Ok(reply) if reply.status.is_success() => TryOutcome::Done,
             Ok(reply) => {
                 let value: serde_json::Value = reply.json().unwrap_or_default();
                 let code = value["error"]["code"].as_str().unwrap_or("unreadable").to_owned();
                 let run = serde_json::from_value(value["error"]["run"].clone());
-                Tried::Failed(code, run.unwrap_or(RunState::Unknown))
+                TryOutcome::Failed(code, run.unwrap_or(RunState::Unknown))
             }
             Err(CallError::NotSent { .. }) => {
-                Tried::Failed("not sent".to_owned(), RunState::NotRun)
+                TryOutcome::Failed("not sent".to_owned(), RunState::NotRun)
             }
-            Err(CallError::Lost { .. }) => Tried::NoAnswer,
+            Err(CallError::Lost { .. }) => TryOutcome::NoReply,
         }
     }
 }
--- a/crates/sillbank_load/src/process.rs
+++ b/crates/sillbank_load/src/process.rs
@@ -1,8 +1,8 @@
-//! What the operating system says a process has used.
+//! Processor time and memory of a process, from `/proc`.
 
 use std::time::Duration;
 
-/// Processor time of all threads of a process.
+/// Returns the processor time of all threads of a process, or `None` if it has ended.
 pub fn cpu_time(pid: u32) -> Option<Duration> {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).ok()?;
     let mut sum_ns = 0;
@@ -13,7 +13,7 @@
     Some(Duration::from_nanos(sum_ns))
 }
 
-/// Memory a process holds, in bytes.
+/// Returns the resident memory of a process in bytes, or `None` if it has ended.
 pub fn resident_bytes(pid: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = text.lines().find(|line| line.starts_with("VmRSS:"))?;
--- a/crates/sillbank_load/src/report.rs
+++ b/crates/sillbank_load/src/report.rs
@@ -1,8 +1,8 @@
-//! Figures of a run: a short summary for people, one line of JSON, and a page with plots.
+//! The report of a run: a short text summary, one line of JSON, and an HTML page with plots.
 
-use crate::check::Checked;
-use crate::client::{End, Got};
-use crate::mix::WorkKind;
+use crate::check::CheckResult;
+use crate::client::{Outcome, RequestRecord};
+use crate::mix::RequestKind;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -20,8 +20,9 @@
     gap_us: Histogram<u64>,
     call_us: Histogram<u64>,
     failures: BTreeMap<String, u64>,
-    tokens_by_tenth: Vec<u64>,
-    checked: Checked,
+    /// Tokens in each 100 ms since the start.
+    tokens_by_bucket: Vec<u64>,
+    check_result: CheckResult,
 }
 
 fn histogram() -> Histogram<u64> {
@@ -29,12 +30,17 @@
 }
 
 impl Report {
-    /// Gathers the figures.
-    pub fn new(title: &str, all: &[Got], checked: &Checked, started: Instant) -> Self {
-        let ended = all.iter().map(|got| got.ended_at).max().unwrap_or(started);
+    /// Collects the figures of all requests.
+    pub fn new(
+        title: &str,
+        requests: &[RequestRecord],
+        check_result: &CheckResult,
+        started: Instant,
+    ) -> Self {
+        let ended = requests.iter().map(|request| request.ended_at).max().unwrap_or(started);
         let mut report = Self {
             title: title.to_owned(),
-            requests: all.len(),
+            requests: requests.len(),
             seconds: ended.duration_since(started).as_secs_f64(),
             tokens: 0,
             resumed: 0,
@@ -42,45 +48,45 @@
             gap_us: histogram(),
             call_us: histogram(),
             failures: BTreeMap::new(),
-            tokens_by_tenth: Vec::new(),
-            checked: checked.clone(),
+            tokens_by_bucket: Vec::new(),
+            check_result: check_result.clone(),
         };
-        all.iter().for_each(|got| report.take(got, started));
+        requests.iter().for_each(|request| report.add(request, started));
         report
     }
 
-    fn take(&mut self, got: &Got, started: Instant) {
-        if got.tries > 1 {
+    fn add(&mut self, request: &RequestRecord, started: Instant) {
+        if request.tries > 1 {
             self.resumed += 1;
         }
-        if let End::Failed { code, run } = &got.end {
+        if let Outcome::Failed { code, run } = &request.outcome {
             *self.failures.entry(format!("{code}:{run:?}")).or_default() += 1;
         }
-        if let WorkKind::Call { .. } = got.work.kind {
-            record(&mut self.call_us, got.ended_at.duration_since(got.sent_at));
+        if let RequestKind::Call { .. } = request.spec.kind {
+            record_duration(&mut self.call_us, request.ended_at.duration_since(request.sent_at));
             return;
         }
-        self.tokens += got.token_times.len() as u64;
-        if let Some(first) = got.token_times.first() {
-            record(&mut self.first_token_us, first.duration_since(got.sent_at));
+        self.tokens += request.token_times.len() as u64;
+        if let Some(first) = request.token_times.first() {
+            record_duration(&mut self.first_token_us, first.duration_since(request.sent_at));
         }
-        for pair in got.token_times.windows(2) {
-            record(&mut self.gap_us, pair[1].duration_since(pair[0]));
+        for pair in request.token_times.windows(2) {
+            record_duration(&mut self.gap_us, pair[1].duration_since(pair[0]));
         }
-        for time in &got.token_times {
-            let tenth = (time.duration_since(started).as_millis() / 100) as usize;
-            if self.tokens_by_tenth.len() <= tenth {
-                self.tokens_by_tenth.resize(tenth + 1, 0);
+        for time in &request.token_times {
+            let bucket = (time.duration_since(started).as_millis() / 100) as usize;
+            if self.tokens_by_bucket.len() <= bucket {
+                self.tokens_by_bucket.resize(bucket + 1, 0);
             }
-            self.tokens_by_tenth[tenth] += 1;
+            self.tokens_by_bucket[bucket] += 1;
         }
     }
 
-    /// A few lines for people.
+    /// Returns a summary of a few lines.
     pub fn summary(&self) -> String {
         let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
         let mut text = String::new();
-        let checked = &self.checked;
+        let check_result = &self.check_result;
         writeln!(
             text,
             "{} requests in {:.1} s, {:.0} tokens/s",
@@ -92,7 +98,7 @@
         writeln!(
             text,
             "whole {}  failed {}  resumed {}",
-            checked.whole, checked.failed, self.resumed
+            check_result.whole, check_result.failed, self.resumed
         )
         .ok();
         writeln!(
@@ -120,12 +126,12 @@
         for (failure, count) in &self.failures {
             writeln!(text, "failure {failure}: {count}").ok();
         }
-        let verdict = if checked.passed() { "passed" } else { "FAILED" };
-        writeln!(text, "check {verdict}: {}", serde_json::json!(checked)).ok();
+        let verdict = if check_result.passed() { "passed" } else { "FAILED" };
+        writeln!(text, "check {verdict}: {}", serde_json::json!(check_result)).ok();
         text
     }
 
-    /// One line for machines.
+    /// Returns the figures as JSON.
     pub fn json(&self) -> serde_json::Value {
         let quantiles = |h: &Histogram<u64>| {
             serde_json::json!({
@@ -146,12 +152,12 @@
             "gap": quantiles(&self.gap_us),
             "call": quantiles(&self.call_us),
             "failures": self.failures,
-            "check": self.checked,
-            "passed": self.checked.passed(),
+            "check": self.check_result,
+            "passed": self.check_result.passed(),
         })
     }
 
-    /// Writes `report.json` and `report.html`.
+    /// Writes `report.json` and `report.html` to a folder, which is created if needed.
     pub fn write(&self, folder: &Path) -> std::io::Result<()> {
         std::fs::create_dir_all(folder)?;
         std::fs::write(folder.join("report.json"), format!("{:#}\n", self.json()))?;
@@ -159,7 +165,7 @@
     }
 
     fn page(&self) -> String {
-        let rate: Vec<f64> = self.tokens_by_tenth.iter().map(|n| *n as f64 * 10.0).collect();
+        let rate: Vec<f64> = self.tokens_by_bucket.iter().map(|n| *n as f64 * 10.0).collect();
         let quantile_curve = |h: &Histogram<u64>| -> Vec<f64> {
             (0..=100).map(|q| h.value_at_quantile(f64::from(q) / 100.0) as f64 / 1000.0).collect()
         };
@@ -180,7 +186,7 @@
     }
 }
 
-fn record(histogram: &mut Histogram<u64>, time: Duration) {
+fn record_duration(histogram: &mut Histogram<u64>, time: Duration) {
     histogram.saturating_record(time.as_micros() as u64);
 }
 
@@ -188,19 +194,19 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// A line plot as SVG.
+/// Returns a line plot as SVG.
 fn plot(title: &str, values: &[f64]) -> String {
     let (width, height) = (720.0, 200.0);
-    let top = values.iter().copied().fold(0.0, f64::max).max(1e-9);
+    let max = values.iter().copied().fold(0.0, f64::max).max(1e-9);
     let step = width / (values.len().max(2) - 1) as f64;
-    let point = |(at, value): (usize, &f64)| {
-        format!("{:.1},{:.1}", at as f64 * step, height - value / top * height)
+    let point = |(index, value): (usize, &f64)| {
+        format!("{:.1},{:.1}", index as f64 * step, height - value / max * height)
     };
     let points: Vec<String> = values.iter().enumerate().map(point).collect();
     format!(
         "<h3>{}</h3><svg viewBox=\"-60 -10 {} {}\" width=\"{}\"><rect width=\"{width}\" \
          height=\"{height}\" fill=\"none\" stroke=\"#ccc\"/><polyline points=\"{}\" fill=\"none\" \
-         stroke=\"#06c\" stroke-width=\"1.5\"/><text x=\"-55\" y=\"8\">{top:.1}</text>\
+         stroke=\"#06c\" stroke-width=\"1.5\"/><text x=\"-55\" y=\"8\">{max:.1}</text>\
          <text x=\"-55\" y=\"{height}\">0</text></svg>",
         escape(title),
         width + 80.0,
@@ -210,7 +216,7 @@
     )
 }
 
-/// The value below which a share of sorted values lies.
+/// Returns the nearest-rank quantile `q` (0 to 1) of sorted values, or 0 if there are none.
 pub fn quantile(sorted: &[u64], q: f64) -> u64 {
     match sorted.len() {
         0 => 0,
--- a/crates/sillbank_load/src/run.rs
+++ b/crates/sillbank_load/src/run.rs
@@ -1,9 +1,9 @@
-//! Open-loop load: arrivals do not wait for answers.
+//! Open-loop load: requests are sent at their arrival times, without waiting for answers.
 
 use crate::Verdict;
 use crate::check::{Ledgers, check};
-use crate::client::{Caller, Got};
-use crate::mix::{BOTH, Mix, MixShape};
+use crate::client::{Caller, RequestRecord};
+use crate::mix::{Mix, MixConfig, WORKLOADS};
 use crate::report::Report;
 use argh::FromArgs;
 use smol::{LocalExecutor, Timer};
@@ -45,33 +45,33 @@
     title: String,
 }
 
-/// Sends the load, checks it and prints the report.
+/// Sends the load, checks the results and prints the report.
 ///
 /// # Errors
-/// What hindered it.
+/// If the fleet's files or a ledger cannot be read, or the report cannot be written.
 pub async fn run(executor: Rc<LocalExecutor<'static>>, arguments: RunArguments) -> Verdict {
     let fleet = crate::fleet::Addresses::read(&arguments.fleet)?;
-    let shape = MixShape {
+    let config = MixConfig {
         call_share: arguments.call_share,
         length_factor: arguments.length_factor,
-        tops: BOTH,
+        workloads: WORKLOADS,
     };
     let name = format!("s{}", arguments.seed);
-    let mix = Mix::new(arguments.seed, shape, name);
+    let mix = Mix::new(arguments.seed, config, name);
     let deadline = Duration::from_millis(arguments.deadline_ms);
     let caller = Caller::new(executor.clone(), fleet.entries.clone(), arguments.seed, deadline);
     let started = Instant::now();
-    let length = Duration::from_secs_f64(arguments.seconds);
-    let got = send_all(&executor, &caller, mix, arguments.rate, length).await;
+    let duration = Duration::from_secs_f64(arguments.seconds);
+    let records = send_all(&executor, &caller, mix, arguments.rate, duration).await;
     let ledgers = read_ledgers(&executor, &fleet).await?;
-    let checked = check(&got, &ledgers);
-    let report = Report::new(&arguments.title, &got, &checked, started);
+    let result = check(&records, &ledgers);
+    let report = Report::new(&arguments.title, &records, &result, started);
     print!("{}", report.summary());
     if let Some(folder) = &arguments.report {
         report.write(folder)?;
     }
     println!("{}", report.json());
-    Ok(checked.passed())
+    Ok(result.passed())
 }
 
 async fn read_ledgers(
@@ -82,29 +82,29 @@
     Ledgers::read(executor.clone(), &engines, &fleet.services).await
 }
 
-/// Sends requests at a rate and waits for all of them to end.
+/// Sends requests at a rate, in requests a second, and waits until all have ended.
 pub async fn send_all(
     executor: &Rc<LocalExecutor<'static>>,
     caller: &Caller,
     mut mix: Mix,
     rate: f64,
-    length: Duration,
-) -> Vec<Got> {
+    duration: Duration,
+) -> Vec<RequestRecord> {
     let started = Instant::now();
     let mut due = Duration::ZERO;
     let mut tasks = Vec::new();
     loop {
-        due += Duration::from_secs_f64(mix.gap_s(rate));
-        if due > length {
+        due += Duration::from_secs_f64(mix.next_arrival_s(rate));
+        if due > duration {
             break;
         }
         Timer::at(started + due).await;
-        let (caller, work) = (caller.clone(), mix.draw());
-        tasks.push(executor.spawn(async move { caller.carry(work).await }));
+        let (caller, spec) = (caller.clone(), mix.next_request());
+        tasks.push(executor.spawn(async move { caller.execute(spec).await }));
     }
-    let mut all = Vec::with_capacity(tasks.len());
+    let mut records = Vec::with_capacity(tasks.len());
     for task in tasks {
-        all.push(task.await);
+        records.push(task.await);
     }
-    all
+    records
 }
--- a/crates/sillbank_load/src/settings_bench.rs
+++ b/crates/sillbank_load/src/settings_bench.rs
@@ -1,6 +1,6 @@
-//! The settings bench: from a change accepted to the change in force at the last VM.
+//! The settings benchmark: time from the acceptance of a change until it is in force in all VMs.
 //!
-//! It comes to every control process as an entry would, and notes when each change arrives.
+//! It connects to every control process as an entry does and records when each change arrives.
 
 use crate::Verdict;
 use crate::fleet::{Addresses, OPERATOR_KEY};
@@ -22,54 +22,55 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Measure the time from a change accepted to the change in force everywhere.
+/// Measure the time from the acceptance of a change until it is in force everywhere.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "settings")]
 pub struct SettingsArguments {
     /// folder that `sillbank-load fleet` wrote
     #[argh(option)]
     fleet: PathBuf,
-    /// changes, one after another
+    /// number of changes, one after another
     #[argh(option, default = "30")]
     changes: u32,
-    /// changes of a burst, all at once
+    /// number of concurrent changes in the burst
     #[argh(option, default = "40")]
     burst: u32,
 }
 
-/// What one VM has in force.
+/// State of the connection to one VM's control process.
 #[derive(Default)]
-struct Watcher {
+struct VmWatcher {
     version: Cell<u64>,
-    at: Cell<Option<Instant>>,
+    in_force_at: Cell<Option<Instant>>,
     versions: RefCell<HashMap<String, u64>>,
     reverts: Cell<u64>,
 }
 
-/// Runs the bench.
+/// Runs the benchmark.
 ///
 /// # Errors
-/// What hindered it.
+/// If the fleet's files cannot be read, a process does not respond, or a change is refused or not
+/// in force everywhere after 60 s.
 pub async fn run(executor: Rc<LocalExecutor<'static>>, arguments: SettingsArguments) -> Verdict {
     let fleet = Addresses::read(&arguments.fleet)?;
     let client = HttpClient::new(executor.clone(), 256 << 20);
     let mut watchers = Vec::new();
     for control in &fleet.controls {
-        let watcher = Rc::new(Watcher::default());
-        executor.spawn(follow(*control, watcher.clone())).detach();
+        let watcher = Rc::new(VmWatcher::default());
+        executor.spawn(watch(*control, watcher.clone())).detach();
         watchers.push(watcher);
     }
     while watchers.iter().any(|w| w.version.get() == 0) {
         Timer::after(Duration::from_millis(20)).await;
     }
-    let joined_s = all_joined(&client, &fleet).await?;
+    let joined_s = wait_all_joined(&client, &fleet).await?;
     let before = platform_calls(&client, &fleet).await?;
     let started = Instant::now();
     let mut times = Vec::new();
     for number in 0..arguments.changes {
         let admin = fleet.control_admins[number as usize % fleet.control_admins.len()];
-        let object = change(&client, admin, 0, number).await?;
-        times.push(in_force_everywhere(&watchers, object.version, Instant::now()).await?);
+        let object = change_node(&client, admin, 0, number).await?;
+        times.push(wait_in_force(&watchers, object.version, Instant::now()).await?);
     }
     let seconds = started.elapsed().as_secs_f64();
     let during = platform_calls(&client, &fleet).await? - before;
@@ -92,8 +93,8 @@
     Ok(reverts == 0)
 }
 
-/// Waits until every control process knows every other; answers how long that took here.
-async fn all_joined(
+/// Waits until every control process knows all others; returns the time it took, in seconds.
+async fn wait_all_joined(
     client: &HttpClient,
     fleet: &Addresses,
 ) -> Result<f64, Box<dyn std::error::Error>> {
@@ -116,13 +117,13 @@
     Ok(started.elapsed().as_secs_f64())
 }
 
-async fn follow(control: SocketAddr, watcher: Rc<Watcher>) {
-    if let Err(error) = follow_once(control, &watcher).await {
+async fn watch(control: SocketAddr, watcher: Rc<VmWatcher>) {
+    if let Err(error) = watch_connection(control, &watcher).await {
         eprintln!("load: {control} ended: {error}.");
     }
 }
 
-async fn follow_once(control: SocketAddr, watcher: &Watcher) -> Result<(), FrameError> {
+async fn watch_connection(control: SocketAddr, watcher: &VmWatcher) -> Result<(), FrameError> {
     let stream = TcpStream::connect(control).await?;
     let (mut reader, mut writer) = (stream.clone(), stream);
     let hello = EntryToControl::Hello { vm: "bench".to_owned(), after: 0 };
@@ -140,7 +141,7 @@
             }
             ControlToEntry::Synced(version) => {
                 watcher.version.set(version);
-                watcher.at.set(Some(Instant::now()));
+                watcher.in_force_at.set(Some(Instant::now()));
                 write_message(&mut writer, &EntryToControl::InForce(version)).await?;
             }
             ControlToEntry::ClaimAnswer { .. } | ControlToEntry::Minted { .. } => {}
@@ -148,8 +149,8 @@
     }
 }
 
-/// Changes one of a few nodes of the tree through a control process.
-async fn change(
+/// Writes node `bench{node}` of the tree through a control process, until no other change is newer.
+async fn change_node(
     client: &HttpClient,
     admin: SocketAddr,
     node: u32,
@@ -170,22 +171,22 @@
         let body = format!("{{\"settings\":{{\"deadline_ms\":{}}}}}", 1000 + number);
         let mut call = authorized(Method::PUT, body);
         match read.json::<Object>() {
-            Ok(here) => call.headers_mut().insert("if-match", here.version.into()),
+            Ok(current) => call.headers_mut().insert("if-match", current.version.into()),
             Err(_) => call.headers_mut().insert("if-none-match", "*".parse()?),
         };
         let reply = client.call(admin, call, Duration::from_secs(20)).await?;
         match reply.status.as_u16() {
             200 => return Ok(reply.json()?),
-            // This VM has not heard of the last change yet.
+            // This VM has not received the last change yet.
             412 => Timer::after(Duration::from_millis(5)).await,
             _ => return Err(String::from_utf8_lossy(&reply.body).into_owned().into()),
         };
     }
 }
 
-/// Waits until every VM has a version in force; answers how long it took, in milliseconds.
-async fn in_force_everywhere(
-    watchers: &[Rc<Watcher>],
+/// Waits until every VM has a version in force; returns the time since `accepted`, in milliseconds.
+async fn wait_in_force(
+    watchers: &[Rc<VmWatcher>],
     version: u64,
     accepted: Instant,
 ) -> Result<u64, Box<dyn std::error::Error>> {
@@ -196,16 +197,16 @@
         }
         Timer::after(Duration::from_millis(1)).await;
     }
-    let last = watchers.iter().filter_map(|w| w.at.get()).max().unwrap_or(accepted);
+    let last = watchers.iter().filter_map(|w| w.in_force_at.get()).max().unwrap_or(accepted);
     Ok(last.saturating_duration_since(accepted).as_millis() as u64)
 }
 
-/// Many changes at once; answers the time until the last is in force everywhere.
+/// Makes concurrent changes; returns the time until all are in force everywhere, in milliseconds.
 async fn burst(
     executor: &Rc<LocalExecutor<'static>>,
     client: &HttpClient,
     fleet: &Addresses,
-    watchers: &[Rc<Watcher>],
+    watchers: &[Rc<VmWatcher>],
     count: u32,
 ) -> Result<u64, Box<dyn std::error::Error>> {
     let started = Instant::now();
@@ -213,17 +214,17 @@
         .map(|number| {
             let client = client.clone();
             let admin = fleet.control_admins[number as usize % fleet.control_admins.len()];
-            let work = async move {
-                change(&client, admin, 1 + number, number).await.map_err(|e| e.to_string())
+            let task = async move {
+                change_node(&client, admin, 1 + number, number).await.map_err(|e| e.to_string())
             };
-            executor.spawn(work)
+            executor.spawn(task)
         })
         .collect();
     let mut newest = 0;
     for task in tasks {
         newest = newest.max(task.await?.version);
     }
-    in_force_everywhere(watchers, newest, started).await
+    wait_in_force(watchers, newest, started).await
 }
 
 async fn platform_calls(
--- a/crates/sillbank_load/src/wait.rs
+++ b/crates/sillbank_load/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until processes are ready.
+//! The `wait` command: waits until processes are ready.
 
 use crate::Verdict;
 use argh::FromArgs;
@@ -11,31 +11,31 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Wait until a path answers 200 at every address.
+/// Wait until a path returns success at every address.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "wait")]
 pub struct WaitArguments {
     /// addresses, separated by commas
     #[argh(option)]
     addresses: String,
-    /// path to ask for
+    /// path of the request
     #[argh(option, default = "String::from(\"/readyz\")")]
     path: String,
-    /// longest wait, in milliseconds
+    /// timeout for all addresses together, in milliseconds
     #[argh(option, default = "20000")]
     timeout_ms: u64,
 }
 
-/// Waits.
+/// Waits until a path returns success at every address.
 ///
 /// # Errors
-/// The first address that was not ready in time.
-pub async fn wait(executor: Rc<LocalExecutor<'static>>, arguments: WaitArguments) -> Verdict {
+/// If an address is invalid, or is not ready in time.
+pub async fn run(executor: Rc<LocalExecutor<'static>>, arguments: WaitArguments) -> Verdict {
     let client = HttpClient::new(executor, 1 << 20);
     let deadline = Instant::now() + Duration::from_millis(arguments.timeout_ms);
     for address in arguments.addresses.split(',') {
         let address: SocketAddr = address.parse()?;
-        while !answers(&client, address, &arguments.path).await {
+        while !is_ready(&client, address, &arguments.path).await {
             if Instant::now() > deadline {
                 return Err(format!("{address}{} is not ready", arguments.path).into());
             }
@@ -45,7 +45,7 @@
     Ok(true)
 }
 
-async fn answers(client: &HttpClient, address: SocketAddr, path: &str) -> bool {
+async fn is_ready(client: &HttpClient, address: SocketAddr, path: &str) -> bool {
     let call = request(Method::GET, path, Bytes::new());
     let reply = client.call(address, call, Duration::from_secs(1)).await;
     reply.is_ok_and(|reply| reply.status.is_success())
--- a/crates/sillbank_load/tests/bad_input.rs
+++ b/crates/sillbank_load/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear typed error or is ended at a stated limit; other requests are untouched.
+//! Bad input gets a typed error or is ended at its limit, and other requests are not affected.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -10,17 +10,18 @@
 use std::time::{Duration, Instant};
 use support::fleet::Fleet;
 
-/// A wait that takes longer is a hang. It is no promise of speed: beside a busy machine a long answer
-/// takes half a minute to fill every buffer on the way.
-const PATIENCE: Duration = Duration::from_secs(300);
-/// Time between looks, so that looking does not take the processor from what is looked at.
-const LOOK: Duration = Duration::from_millis(100);
+/// Timeout of a wait; a longer one is a hang. It does not bound the speed: on a busy machine a long
+/// answer takes half a minute to fill every buffer on its way.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(300);
+/// Polling interval, long enough that polling does not take processor time from the fleet.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Settings of the entry with short limits.
 const LIMITS: &str = "max_body_bytes = 4096\nmax_head_bytes = 8192\nhead_timeout_ms = 300\n\
                       body_timeout_ms = 300\nstream_buffer_bytes = 2048\ncaller_stall_ms = 300\n";
 
-/// A fleet of one VM with short limits, ready to serve.
+/// Starts a fleet of one VM with short limits and waits until it serves requests.
 fn fleet() -> Fleet {
-    let mut fleet = Fleet::lay_out(|arguments| {
+    let mut fleet = Fleet::prepare(|arguments| {
         arguments.vms = 1;
         arguments.engines = 6;
         arguments.cost_factor = 0.0;
@@ -38,8 +39,8 @@
         &[("SILLBANK_CONTROL", &control.to_string()), ("SILLBANK_KEY", OPERATOR_KEY)],
     );
     wait_for(fleet.addresses.entry_admins[0], "/readyz");
-    // The chain is there once a good request is answered.
-    let deadline = Instant::now() + PATIENCE;
+    // A successful request shows that the chain is connected.
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !good_request(&fleet).starts_with("HTTP/1.1 200") {
         assert!(Instant::now() < deadline, "no good request is answered");
     }
@@ -47,23 +48,23 @@
 }
 
 fn wait_for(address: SocketAddr, path: &str) {
-    let deadline = Instant::now() + PATIENCE;
-    let asked = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     while !TcpStream::connect(address)
-        .is_ok_and(|stream| exchange_on(stream, asked.as_bytes()).starts_with("HTTP/1.1 200"))
+        .is_ok_and(|stream| exchange_on(stream, request.as_bytes()).starts_with("HTTP/1.1 200"))
     {
         assert!(Instant::now() < deadline, "{address}{path}");
         std::thread::yield_now();
     }
 }
 
-/// Sends bytes and reads until the other side ends the connection.
+/// Sends bytes to the entry and reads until it closes the connection.
 fn exchange(fleet: &Fleet, bytes: &[u8]) -> String {
     exchange_on(TcpStream::connect(fleet.addresses.entries[0]).unwrap(), bytes)
 }
 
 fn exchange_on(mut stream: TcpStream, bytes: &[u8]) -> String {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(bytes).ok();
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).ok();
@@ -100,8 +101,9 @@
     }
 }
 
+/// Each kind of bad request gets its status and error code, and a valid request still succeeds.
 #[test]
-fn bad_input_gets_a_typed_error_and_others_are_untouched() {
+fn bad_input_gets_a_typed_error_and_does_not_affect_other_requests() {
     let fleet = fleet();
     let path = "/v1/chat/completions";
     let good = chat("summaries");
@@ -136,8 +138,9 @@
     assert!(good_request(&fleet).starts_with("HTTP/1.1 200"));
 }
 
+/// The failure of an unknown key does not tell whether a pipeline exists.
 #[test]
-fn an_unknown_key_learns_nothing_about_what_there_is() {
+fn an_unknown_key_does_not_reveal_which_pipelines_exist() {
     let fleet = fleet();
     let path = "/v1/chat/completions";
 
@@ -148,8 +151,9 @@
     assert_eq!(body(&known), body(&unknown));
 }
 
+/// A request head over its limit is refused, and a valid request still succeeds.
 #[test]
-fn an_over_long_head_is_refused() {
+fn an_oversized_head_is_refused() {
     let fleet = fleet();
     let headers = format!("x-long: {}\r\n", "y".repeat(20_000));
 
@@ -159,8 +163,9 @@
     assert!(good_request(&fleet).starts_with("HTTP/1.1 200"));
 }
 
+/// A request whose head or body stops halfway is ended at its timeout and does not run.
 #[test]
-fn a_half_sent_request_is_ended_at_its_limit() {
+fn an_incomplete_request_is_ended_at_its_timeout() {
     let fleet = fleet();
     let whole = post("/v1/chat/completions", &key(), "", &chat("summaries"));
 
@@ -172,14 +177,18 @@
     assert!(good_request(&fleet).starts_with("HTTP/1.1 200"));
 }
 
-/// It hung beside load, for two reasons. An engine that was found silent took its stages back, and its late answers to
-/// the steps that were given up took the place of the new ones (the script `stage_back_at_a_late_engine` tells how). And
-/// the answer was not always found to stand still: the system kept up to 4 MB of it for the caller (16,300 of its 17,708
-/// tokens, 3.17 MB, when it did), so that at times all of it went out, and nobody was ended. What showed that:
-/// `sillbank_entry_stalled_callers_total 0` with the answer no more in flight, after one to three of the eight losses
-/// that it may bear; in other runs `ss -tm` told of 3,941,468 bytes kept of 3,939,840 allowed when it stood still.
+/// A caller that stops reading is disconnected after its stall limit, and its request ends, which
+/// releases its engines.
+///
+/// Guards against two hangs under load. Late replies of an engine that was found silent and got its
+/// stages back were taken for replies to the new steps (see the script
+/// `stage_back_at_a_late_engine`). And the system's socket buffers, up to 4 MB, sometimes took the
+/// whole answer, so the caller was never found stalled: `sillbank_entry_stalled_callers_total` was 0
+/// with the answer no longer in flight, after one to three of the eight losses that it may survive.
+/// When the answer did stall, the buffers held 16,300 of its 17,708 tokens (3.17 MB), or 3,941,468
+/// bytes of 3,939,840 allowed according to `ss -tm`.
 #[test]
-fn a_caller_that_stops_reading_is_ended_and_its_engines_are_freed() {
+fn a_caller_that_stops_reading_is_disconnected_and_its_engines_are_released() {
     let fleet = fleet();
     let id = long_answer_id();
     let body =
@@ -188,12 +197,12 @@
     let mut stream = TcpStream::connect(fleet.addresses.entries[0]).unwrap();
     stream.write_all(post("/v1/chat/completions", &key(), &headers, &body).as_bytes()).unwrap();
 
-    // It reads nothing at all.
-    let deadline = Instant::now() + PATIENCE;
+    // The caller reads nothing at all.
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while metric(&fleet, "sillbank_entry_stalled_callers_total") == 0 {
         assert!(Instant::now() < deadline, "the caller was never ended");
         assert!(good_request(&fleet).starts_with("HTTP/1.1 200"), "others are untouched");
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 
     while metric(&fleet, "sillbank_entry_in_flight") > 0 {
@@ -201,22 +210,23 @@
     }
 }
 
-/// A request id whose answer is long enough to fill every buffer on the way.
+/// Returns a request id whose answer is long enough to fill every buffer on its way.
 fn long_answer_id() -> String {
     use sillbank_core::prelude::*;
     let prompt = sillbank_model::tokenize("one two three");
     let organisation = organisation_name("market", 0);
-    let long = |id: &String| {
+    let is_long = |id: &String| {
         let seed = RequestUid::derive(&organisation, id).seed();
         sillbank_model::reference_answer(&prompt, 24, seed, 14_000).len() == 14_000
     };
-    (0..).map(|number| format!("long-{number}")).find(long).unwrap()
+    (0..).map(|number| format!("long-{number}")).find(is_long).unwrap()
 }
 
+/// Returns a counter of the entry, or 0 if it is missing.
 fn metric(fleet: &Fleet, name: &str) -> u64 {
-    let asked = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    let request = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
     let stream = TcpStream::connect(fleet.addresses.entry_admins[0]).unwrap();
-    let text = exchange_on(stream, asked.as_bytes());
+    let text = exchange_on(stream, request.as_bytes());
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
--- a/crates/sillbank_load/tests/scenarios.rs
+++ b/crates/sillbank_load/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Scripted scenarios against real processes: each script reads like the promise it proves.
+//! Scripted scenarios against real processes. Each test runs the script of its name, whose head
+//! says which guarantee it checks.
 #![allow(clippy::unwrap_used)]
 
 mod support;
--- a/crates/sillbank_load/tests/support/engines.rs
+++ b/crates/sillbank_load/tests/support/engines.rs
@@ -1,6 +1,6 @@
-//! Commands of a scenario that look at engines and make faults.
+//! Commands of a scenario that inspect engines and inject faults.
 
-use super::runner::{LOOK, Outcome, PATIENCE, Scenario};
+use super::runner::{CommandResult, POLL_INTERVAL, Scenario, WAIT_TIMEOUT};
 use bytes::Bytes;
 use goldenscript::Command;
 use hyper::Method;
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 impl Scenario {
-    /// The engine that holds a stage of a request, by its ledger.
-    pub(super) fn engine_of(&self, id: &str, stage: u16) -> Outcome<String> {
+    /// Returns the engine that last ran a stage of a request, according to the ledgers.
+    pub(super) fn engine_of(&self, id: &str, stage: u16) -> CommandResult<String> {
         let uid = self.pending.get(id).ok_or("no such request")?.uid.to_string();
         let addresses = self.fleet.as_ref().ok_or("no fleet")?.addresses.clone();
         self.block_on(async {
-            let mut found: Option<(Attempt, usize)> = None;
+            let mut newest: Option<(Attempt, usize)> = None;
             for (number, address) in addresses.engines.iter().enumerate() {
                 let call = request(Method::GET, "/admin/ledger", Bytes::new());
                 let Ok(reply) = self.http.call(*address, call, Duration::from_millis(500)).await
@@ -27,14 +27,15 @@
                 };
                 let ledger: Vec<LedgerEntry> = reply.json()?;
                 let runs = ledger.iter().filter(|e| e.uid == uid && e.layers[0] == stage * 8);
-                found = found.max(runs.map(|run| (run.attempt, number)).max());
+                newest = newest.max(runs.map(|run| (run.attempt, number)).max());
             }
-            let (_, number) = found.ok_or("no engine holds this stage")?;
+            let (_, number) = newest.ok_or("no engine holds this stage")?;
             Ok(format!("engine{number}"))
         })
     }
 
-    pub(super) fn fault(&mut self, name: &str, json: &str) -> Outcome<()> {
+    /// Injects a fault into a stand-in.
+    pub(super) fn fault(&mut self, name: &str, json: &str) -> CommandResult<()> {
         let addresses = self.fleet().addresses.clone();
         let number = || name.trim_start_matches(char::is_alphabetic).parse::<usize>();
         let address = match name {
@@ -44,21 +45,21 @@
             _ => addresses.services[number()?],
         };
         let call = request(Method::POST, "/admin/faults", Bytes::copy_from_slice(json.as_bytes()));
-        let reply = self.block_on(self.http.call(address, call, PATIENCE))?;
+        let reply = self.block_on(self.http.call(address, call, WAIT_TIMEOUT))?;
         match reply.status.is_success() {
             true => Ok(()),
             false => Err(String::from_utf8_lossy(&reply.body).into_owned().into()),
         }
     }
 
-    /// The control process that gives the orders of its hall.
-    pub(super) fn holder(&mut self) -> Outcome<String> {
+    /// Returns the control process that gives the orders of its hall; the first answer is kept.
+    pub(super) fn holder(&mut self) -> CommandResult<String> {
         if let Some(name) = &self.holder {
             return Ok(name.clone());
         }
         let admins = self.fleet().addresses.control_admins.clone();
         let number = self.block_on(async {
-            let deadline = Instant::now() + PATIENCE;
+            let deadline = Instant::now() + WAIT_TIMEOUT;
             loop {
                 for (number, admin) in admins.iter().enumerate() {
                     let status = self.status(*admin).await.unwrap_or_default();
@@ -69,7 +70,7 @@
                 if Instant::now() > deadline {
                     return Err("nobody gives orders".into());
                 }
-                Timer::after(LOOK).await;
+                Timer::after(POLL_INTERVAL).await;
             }
         })?;
         let name = format!("control{number}");
@@ -77,69 +78,75 @@
         Ok(name)
     }
 
-    pub(super) fn cut(&mut self, command: &Command) -> Outcome<()> {
+    /// Cuts the link in front of an engine in one direction.
+    pub(super) fn cut(&mut self, command: &Command) -> CommandResult<()> {
         let direction = command.consume_args().next_pos().unwrap_or("back").to_owned();
         let engine = self.process_of(command)?;
         let link = engine.replace("engine", "link");
         self.fault(&link, &format!("{{\"cut_{direction}\": true}}"))
     }
 
-    /// Waits until an entry has found endpoints silent so often.
-    pub(super) fn found_silent(&mut self, command: &Command) -> Outcome<()> {
+    /// Waits until an entry has found endpoints silent this many times.
+    pub(super) fn wait_for_silent_endpoints(&mut self, command: &Command) -> CommandResult<()> {
         let times = command.consume_args().take_key("times").unwrap_or("1").parse()?;
         let address = self.vm_address(command)?;
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         self.block_on(async {
             while self.metric(address, "sillbank_entry_silent_endpoints_total").await < times {
                 if Instant::now() > deadline {
                     return Err(format!("{address} never found {times} silent").into());
                 }
-                Timer::after(LOOK).await;
+                Timer::after(POLL_INTERVAL).await;
             }
             Ok(())
         })
     }
 
-    pub(super) fn engine_number(name: &str) -> Outcome<usize> {
+    pub(super) fn engine_number(name: &str) -> CommandResult<usize> {
         Ok(name.trim_start_matches(char::is_alphabetic).parse()?)
     }
 
-    pub(super) fn holds(&mut self, command: &Command) -> Outcome<()> {
+    /// Waits until an engine has loaded the given layers.
+    pub(super) fn wait_for_layers(&mut self, command: &Command) -> CommandResult<()> {
         let mut args = command.consume_args();
         let name = args.next_pos().ok_or("name an engine")?.to_owned();
         let first = args.take_key("first").ok_or("name first=N")?.parse()?;
         let end = args.take_key("end").ok_or("name end=N")?.parse()?;
         let address = self.fleet().addresses.engines[Self::engine_number(&name)?];
         self.block_on(async {
-            let deadline = Instant::now() + PATIENCE;
+            let deadline = Instant::now() + WAIT_TIMEOUT;
             loop {
                 let call = request(Method::GET, STATE_PATH, Bytes::new());
-                let state: EngineState = self.http.call(address, call, PATIENCE).await?.json()?;
+                let state: EngineState =
+                    self.http.call(address, call, WAIT_TIMEOUT).await?.json()?;
                 if state.layers == (LayerRange { first, end }) && !state.loading {
                     return Ok(());
                 }
                 if Instant::now() > deadline {
                     return Err(format!("{name} holds {:?}", state.layers).into());
                 }
-                Timer::after(LOOK).await;
+                Timer::after(POLL_INTERVAL).await;
             }
         })
     }
 
-    pub(super) fn runs(&mut self, command: &Command) -> Outcome<String> {
+    /// Returns the number of entries in an engine's ledger.
+    pub(super) fn runs(&mut self, command: &Command) -> CommandResult<String> {
         let name = command.consume_args().next_pos().ok_or("name an engine")?.to_owned();
         let address = self.fleet().addresses.engines[Self::engine_number(&name)?];
         let call = request(Method::GET, "/admin/ledger", Bytes::new());
         let ledger: Vec<LedgerEntry> =
-            self.block_on(self.http.call(address, call, PATIENCE))?.json()?;
+            self.block_on(self.http.call(address, call, WAIT_TIMEOUT))?.json()?;
         Ok(format!("{} runs\n", ledger.len()))
     }
 
-    pub(super) fn fences(&mut self, command: &Command) -> Outcome<String> {
+    /// Returns whether the fences of the orders that an engine accepted never decreased.
+    pub(super) fn fences(&mut self, command: &Command) -> CommandResult<String> {
         let name = command.consume_args().next_pos().ok_or("name an engine")?.to_owned();
         let address = self.fleet().addresses.engines[Self::engine_number(&name)?];
         let call = request(Method::GET, "/admin/orders", Bytes::new());
-        let fences: Vec<u64> = self.block_on(self.http.call(address, call, PATIENCE))?.json()?;
+        let fences: Vec<u64> =
+            self.block_on(self.http.call(address, call, WAIT_TIMEOUT))?.json()?;
         let rising = fences.windows(2).all(|pair| pair[0] <= pair[1]);
         Ok(format!("{} orders, {}\n", fences.len(), if rising { "rising" } else { "NOT rising" }))
     }
--- a/crates/sillbank_load/tests/support/fleet.rs
+++ b/crates/sillbank_load/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback for one test. Everything it started ends with it.
+//! A fleet of real processes on loopback for one test. Dropping it kills all its processes.
 
 use sillbank_load::fleet::{Addresses, FleetArguments, write};
 use sillbank_testing::ports::PortBlock;
@@ -7,25 +7,25 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// Processes by name.
+/// The files and processes of a fleet; processes are identified by name.
 pub(crate) struct Fleet {
     pub(crate) folder: PathBuf,
     pub(crate) addresses: Addresses,
     commands: HashMap<String, Vec<String>>,
     running: HashMap<String, Child>,
-    /// Kept so that no other fleet is given its ports.
+    /// Reserves the ports for this fleet while it exists.
     _ports: PortBlock,
 }
 
 impl Fleet {
-    /// Lays a fleet out without starting it.
-    pub(crate) fn lay_out(shape: impl FnOnce(&mut FleetArguments)) -> Self {
+    /// Writes the files of a fleet in a temporary folder without starting it.
+    pub(crate) fn prepare(configure: impl FnOnce(&mut FleetArguments)) -> Self {
         let folder = temporary_folder();
         let mut arguments = FleetArguments::new(folder.clone(), programs());
-        shape(&mut arguments);
+        configure(&mut arguments);
         let ports = PortBlock::claim();
         arguments.first_port = ports.first();
-        write(&arguments).expect("the fleet is laid out");
+        write(&arguments).expect("the files of the fleet can be written");
         let text = std::fs::read_to_string(folder.join("commands.txt")).expect("commands");
         let words = |line: &str| line.split_whitespace().map(str::to_owned).collect::<Vec<_>>();
         let commands = text.lines().map(words).map(|mut words| (words.remove(0), words)).collect();
@@ -33,14 +33,14 @@
         Self { folder, addresses, commands, running: HashMap::new(), _ports: ports }
     }
 
-    /// Names of all processes.
+    /// Returns the sorted names of all processes.
     pub(crate) fn names(&self) -> Vec<String> {
         let mut names: Vec<String> = self.commands.keys().cloned().collect();
         names.sort();
         names
     }
 
-    /// Starts a process.
+    /// Starts a process; its log is appended to `NAME.log` in the fleet's folder.
     pub(crate) fn start(&mut self, name: &str) {
         let words = &self.commands[name];
         let log = std::fs::File::options()
@@ -65,21 +65,21 @@
         }
     }
 
-    /// Replaces a text in a file of the fleet's folder.
+    /// Replaces text in a file of the fleet's folder.
     pub(crate) fn replace(&self, file: &str, old: &str, new: &str) {
         let path = self.folder.join(file);
         let text = std::fs::read_to_string(&path).expect("a file of the fleet");
         std::fs::write(path, text.replace(old, new)).expect("a file of the fleet");
     }
 
-    /// Adds lines to a file of the fleet's folder.
+    /// Appends text to a file of the fleet's folder.
     pub(crate) fn append(&self, file: &str, text: &str) {
         let path = self.folder.join(file);
         let old = std::fs::read_to_string(&path).expect("a file of the fleet");
         std::fs::write(path, old + text).expect("a file of the fleet");
     }
 
-    /// Runs a program to its end; answers its exit code, standard output and standard error.
+    /// Runs a program to its end; returns its exit code, standard output and standard error.
     pub(crate) fn run_program(
         &self,
         program: &str,
@@ -102,7 +102,7 @@
         assert!(status.success(), "{signal} to {name}");
     }
 
-    /// Kills a process and waits until it is gone.
+    /// Kills a process and waits until it has exited.
     pub(crate) fn kill(&mut self, name: &str) {
         if let Some(mut child) = self.running.remove(name) {
             child.kill().expect("kill");
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Waits until a process has ended by itself; answers its exit code.
+    /// Waits until a process has exited by itself; returns its exit code.
     pub(crate) fn wait(&mut self, name: &str) -> Option<i32> {
         let mut child = self.running.remove(name)?;
         child.wait().expect("wait").code()
@@ -129,7 +129,7 @@
     }
 }
 
-/// Folder of the programs, beside the tests'.
+/// Returns the folder of the built programs: the parent of the test program's folder.
 fn programs() -> PathBuf {
     let test = std::env::current_exe().expect("the test's path");
     test.parent().and_then(Path::parent).expect("the target folder").to_owned()
--- a/crates/sillbank_load/tests/support/mod.rs
+++ b/crates/sillbank_load/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the process-level tests share. Each test uses a part of it.
+//! Shared helpers of the process-level tests. Each test target uses only some of them.
 #![allow(dead_code)]
 
 mod engines;
--- a/crates/sillbank_load/tests/support/settings.rs
+++ b/crates/sillbank_load/tests/support/settings.rs
@@ -1,6 +1,6 @@
 //! Commands of a scenario that change and read settings.
 
-use super::runner::{LOOK, Outcome, PATIENCE, Scenario};
+use super::runner::{CommandResult, POLL_INTERVAL, Scenario, WAIT_TIMEOUT};
 use bytes::Bytes;
 use goldenscript::Command;
 use hyper::Method;
@@ -12,8 +12,9 @@
 use std::time::Instant;
 
 impl Scenario {
-    /// Writes one or two objects from the same version, each through another VM.
-    pub(super) fn write(&mut self, command: &Command) -> Outcome<String> {
+    /// Writes one value, or two concurrently from the same version through different VMs; returns
+    /// the sorted outcomes.
+    pub(super) fn write(&mut self, command: &Command) -> CommandResult<String> {
         let mut args = command.consume_args();
         let key = args.next_pos().ok_or("name a key")?.to_owned();
         let mut values: Vec<serde_json::Value> = Vec::new();
@@ -22,9 +23,9 @@
         }
         let controls = self.fleet().addresses.control_admins.clone();
         let outcomes = self.block_on(async {
-            let here = self.object(controls[0], &key).await?.map(|object| object.version);
+            let current = self.object(controls[0], &key).await?.map(|object| object.version);
             let put = async |number: usize| {
-                let written = self.put(controls[number], &key, here, &values[number]).await;
+                let written = self.put(controls[number], &key, current, &values[number]).await;
                 written.map(|_| ()).map_err(|e| e.to_string())
             };
             Ok::<_, Box<dyn Error>>(match values.len() {
@@ -40,7 +41,8 @@
         Ok(lines.concat())
     }
 
-    pub(super) fn store(&mut self, command: &Command) -> Outcome<()> {
+    /// Writes an object directly to the platform, without validation.
+    pub(super) fn store(&mut self, command: &Command) -> CommandResult<()> {
         let mut args = command.consume_args();
         let key = args.next_pos().ok_or("name a key")?;
         let json = args.next_pos().ok_or("name the value as JSON")?;
@@ -49,10 +51,10 @@
         self.block_on(async {
             let path = format!("/objects/settings/{key}");
             let read = request(Method::GET, &path, Bytes::new());
-            let here: Object = self.http.call(platform, read, PATIENCE).await?.json()?;
+            let current: Object = self.http.call(platform, read, WAIT_TIMEOUT).await?.json()?;
             let mut call = request(Method::PUT, &path, Bytes::copy_from_slice(json.as_bytes()));
-            call.headers_mut().insert("if-match", here.version.into());
-            let reply = self.http.call(platform, call, PATIENCE).await?;
+            call.headers_mut().insert("if-match", current.version.into());
+            let reply = self.http.call(platform, call, WAIT_TIMEOUT).await?;
             match reply.status.is_success() {
                 true => Ok(()),
                 false => Err("the platform refused".into()),
@@ -60,7 +62,8 @@
         })
     }
 
-    pub(super) fn effective(&mut self, command: &Command) -> Outcome<String> {
+    /// Returns the value of a setting in force and the object it came from.
+    pub(super) fn effective(&mut self, command: &Command) -> CommandResult<String> {
         let mut args = command.consume_args();
         let key = args.next_pos().ok_or("name a key")?;
         let name = args.next_pos().ok_or("name a setting")?;
@@ -68,29 +71,29 @@
         let control = self.fleet().addresses.control_admins[vm];
         let mut call = request(Method::GET, &format!("/v1/effective/{key}"), Bytes::new());
         call.headers_mut().insert("authorization", format!("Bearer {OPERATOR_KEY}").parse()?);
-        let reply = self.block_on(self.http.call(control, call, PATIENCE))?;
+        let reply = self.block_on(self.http.call(control, call, WAIT_TIMEOUT))?;
         let all: serde_json::Value = reply.json()?;
         Ok(format!("{name} = {} from {}\n", all[name]["value"], all[name]["from"]))
     }
 
-    /// What `sillbank status` prints, once it no longer says that VMs are behind or not heard.
-    pub(super) fn fleet_status(&mut self) -> Outcome<String> {
+    /// Returns the output of `sillbank status` once no VM is behind or not heard.
+    pub(super) fn fleet_status(&mut self) -> CommandResult<String> {
         let fleet = self.fleet();
         let control = fleet.addresses.control_admins[0].to_string();
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let environment =
                 [("SILLBANK_CONTROL", control.as_str()), ("SILLBANK_KEY", OPERATOR_KEY)];
             let (code, text, _) = fleet.run_program("sillbank", &["status"], &environment);
-            let settled = text.contains("in every VM") && !text.contains("not heard");
+            let is_in_force = text.contains("in every VM") && !text.contains("not heard");
             let halls = text.lines().filter(|line| line.starts_with("hall")).count();
-            if code == 0 && settled && halls == fleet.addresses.control_admins.len() {
-                // Versions and who told differ between runs.
-                let plain = |line: &str| {
+            if code == 0 && is_in_force && halls == fleet.addresses.control_admins.len() {
+                // Versions and the reporting VM differ between runs, so they are removed.
+                let stable = |line: &str| {
                     let line = line.split(" (told").next().unwrap_or_default();
                     line.chars().filter(|c| !c.is_ascii_digit()).collect::<String>()
                 };
-                return Ok(text.lines().map(|line| plain(line) + "\n").collect());
+                return Ok(text.lines().map(|line| stable(line) + "\n").collect());
             }
             if Instant::now() > deadline {
                 return Err(text.into());
@@ -98,11 +101,12 @@
         }
     }
 
-    pub(super) fn invalid(&mut self) -> Outcome<String> {
+    /// Waits until the list of invalid objects changes, and returns it.
+    pub(super) fn invalid(&mut self) -> CommandResult<String> {
         let control = self.fleet().addresses.control_admins[0];
         let known = self.invalid.clone();
         self.invalid = self.block_on(async {
-            let deadline = Instant::now() + PATIENCE;
+            let deadline = Instant::now() + WAIT_TIMEOUT;
             loop {
                 let status = self.status(control).await.unwrap_or_default();
                 let now: Vec<String> = serde_json::from_value(status["invalid"].clone())?;
@@ -112,7 +116,7 @@
                 if Instant::now() > deadline {
                     return Err("the list of invalid objects did not change".into());
                 }
-                Timer::after(LOOK).await;
+                Timer::after(POLL_INTERVAL).await;
             }
         })?;
         match self.invalid.is_empty() {
@@ -122,7 +126,7 @@
     }
 }
 
-/// How a write went, without what differs between runs.
+/// Describes the outcome of a write, without the digits, which differ between runs.
 fn describe_write(outcome: &Result<(), String>) -> String {
     let Err(text) = outcome else {
         return "written\n".to_owned();
@@ -130,9 +134,9 @@
     let failure: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
     let message = failure["message"].as_str().unwrap_or(text);
     let message = message.trim_end_matches('.');
-    let plain: String = message.chars().filter(|c| !c.is_ascii_digit()).collect();
+    let stable: String = message.chars().filter(|c| !c.is_ascii_digit()).collect();
     format!(
-        "{} {plain}. {}\n",
+        "{} {stable}. {}\n",
         failure["code"].as_str().unwrap_or(""),
         failure["remedy"].as_str().unwrap_or("")
     )
