--- a/crates/sillbank_cli/src/apply.rs
+++ b/crates/sillbank_cli/src/apply.rs
@@ -1,8 +1,8 @@
-//! `sillbank apply`, `diff` and `delete`: changes to the tree.
+//! `sillbank apply`, `diff` and `delete`: find_changes to the settings tree.
 
 use crate::CommandError;
 use crate::check::read_files;
-use crate::remote::Remote;
+use crate::control_client::ControlClient;
 use argh::FromArgs;
 use serde_json::Value;
 use sillbank_protocol::platform::Object;
@@ -11,29 +11,29 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Bring objects in force from files or folders of TOML.
+/// Apply objects from TOML files or folders.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub(crate) struct ApplyArguments {
-    /// files or folders
+    /// TOML files or folders
     #[argh(positional)]
     paths: Vec<PathBuf>,
     /// control process, IP:PORT
     #[argh(option)]
     control: Option<String>,
-    /// reason, kept with the change
+    /// reason, stored with the change
     #[argh(option, default = "String::new()")]
     why: String,
-    /// only say what would change
+    /// only print what would change
     #[argh(switch)]
     dry_run: bool,
 }
 
-/// Show how objects in files differ from what is in force.
+/// Show the differences between objects in files and those in force.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub(crate) struct DiffArguments {
-    /// files or folders
+    /// TOML files or folders
     #[argh(positional)]
     paths: Vec<PathBuf>,
     /// control process, IP:PORT
@@ -51,15 +51,15 @@
     /// control process, IP:PORT
     #[argh(option)]
     control: Option<String>,
-    /// reason, kept with the change
+    /// reason, stored with the change
     #[argh(option, default = "String::new()")]
     why: String,
 }
 
-/// One object that is to change.
+/// An object in a file that differs from the one in force.
 struct Change {
     key: String,
-    here: Option<Object>,
+    current: Option<Object>,
     value: Value,
 }
 
@@ -67,20 +67,20 @@
     executor: Rc<LocalExecutor<'static>>,
     arguments: ApplyArguments,
 ) -> Result<(), CommandError> {
-    let remote = Remote::new(executor, arguments.control)?;
-    let (changes, same) = changes(&remote, &arguments.paths).await?;
-    for change in &changes {
-        let verb = if change.here.is_some() { "change" } else { "add" };
+    let client = ControlClient::new(executor, arguments.control)?;
+    let (differing, unchanged) = find_changes(&client, &arguments.paths).await?;
+    for change in &differing {
+        let verb = if change.current.is_some() { "change" } else { "add" };
         if arguments.dry_run {
             println!("would {verb} {}", change.key);
             continue;
         }
-        let expected = change.here.as_ref().map(|object| object.version);
+        let expected = change.current.as_ref().map(|object| object.version);
         let object =
-            remote.write(&change.key, expected, Some(&change.value), &arguments.why).await?;
+            client.write(&change.key, expected, Some(&change.value), &arguments.why).await?;
         println!("{verb} {} version {}", object.key, object.version);
     }
-    println!("{} changed, {same} the same.", changes.len());
+    println!("{} changed, {unchanged} the same.", differing.len());
     Ok(())
 }
 
@@ -88,14 +88,14 @@
     executor: Rc<LocalExecutor<'static>>,
     arguments: DiffArguments,
 ) -> Result<(), CommandError> {
-    let remote = Remote::new(executor, arguments.control)?;
-    let (changes, same) = changes(&remote, &arguments.paths).await?;
-    for change in &changes {
+    let client = ControlClient::new(executor, arguments.control)?;
+    let (differing, unchanged) = find_changes(&client, &arguments.paths).await?;
+    for change in &differing {
         println!("{}", change.key);
-        let here = change.here.as_ref().map(without_note).unwrap_or_default();
-        print_differences("", &here, &change.value);
+        let current = change.current.as_ref().map(without_note).unwrap_or_default();
+        print_differences("", &current, &change.value);
     }
-    println!("{} differ, {same} are the same.", changes.len());
+    println!("{} differ, {unchanged} are the same.", differing.len());
     Ok(())
 }
 
@@ -103,30 +103,36 @@
     executor: Rc<LocalExecutor<'static>>,
     arguments: DeleteArguments,
 ) -> Result<(), CommandError> {
-    let remote = Remote::new(executor, arguments.control)?;
-    let Some(here) = remote.object(&arguments.key).await? else {
+    let client = ControlClient::new(executor, arguments.control)?;
+    let Some(current) = client.object(&arguments.key).await? else {
         return Err(CommandError::Other(format!("There is no object {}.", arguments.key)));
     };
-    let gone = remote.write(&arguments.key, Some(here.version), None, &arguments.why).await?;
-    println!("deleted {} version {}", gone.key, gone.version);
+    let deleted = client.write(&arguments.key, Some(current.version), None, &arguments.why).await?;
+    println!("deleted {} version {}", deleted.key, deleted.version);
     Ok(())
 }
 
-async fn changes(remote: &Remote, paths: &[PathBuf]) -> Result<(Vec<Change>, usize), CommandError> {
-    let mut changes = Vec::new();
-    let mut same = 0;
+/// Compares the objects in files with those in force; returns the differing ones and the number of
+/// equal ones.
+async fn find_changes(
+    client: &ControlClient,
+    paths: &[PathBuf],
+) -> Result<(Vec<Change>, usize), CommandError> {
+    let mut differing = Vec::new();
+    let mut unchanged = 0;
     for (source, text) in read_files(paths)? {
         for (key, value) in read_objects_file(&source, &text)? {
-            let here = remote.object(&key).await?;
-            match here.as_ref().map(without_note) {
-                Some(old) if old == value => same += 1,
-                _ => changes.push(Change { key, here, value }),
+            let current = client.object(&key).await?;
+            match current.as_ref().map(without_note) {
+                Some(old) if old == value => unchanged += 1,
+                _ => differing.push(Change { key, current, value }),
             }
         }
     }
-    Ok((changes, same))
+    Ok((differing, unchanged))
 }
 
+/// Returns the value of an object without its `note`, which records who wrote it and why.
 fn without_note(object: &Object) -> Value {
     let mut value: Value = serde_json::from_str(&object.value).unwrap_or_default();
     if let Some(fields) = value.as_object_mut() {
@@ -135,6 +141,7 @@
     value
 }
 
+/// Prints each field that differs, with its path, old and new value.
 fn print_differences(path: &str, old: &Value, new: &Value) {
     if let (Some(old), Some(new)) = (old.as_object(), new.as_object()) {
         let mut names: Vec<&String> = old.keys().chain(new.keys()).collect();
--- a/crates/sillbank_cli/src/check.rs
+++ b/crates/sillbank_cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `sillbank check`: reads settings as the processes would.
+//! `sillbank check`: validates settings as the processes do when they read them.
 
 use crate::CommandError;
 use argh::FromArgs;
@@ -7,11 +7,11 @@
 use sillbank_settings::reader::{Problem, Problems};
 use std::path::{Path, PathBuf};
 
-/// Check settings files of processes and files of objects; every fault is named.
+/// Validate settings files of processes and files of objects; reports all problems.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct CheckArguments {
-    /// files or folders
+    /// TOML files or folders
     #[argh(positional)]
     paths: Vec<PathBuf>,
 }
@@ -26,8 +26,8 @@
             true => read_text(&source, &text).map(|_| ()),
             false => read_objects_file(&source, &text).map(|_| ()),
         };
-        if let Err(found) = checked {
-            problems.extend(found.0);
+        if let Err(error) = checked {
+            problems.extend(error.0);
         }
     }
     if !problems.is_empty() {
@@ -37,7 +37,10 @@
     Ok(())
 }
 
-/// All TOML files at some paths, with their texts.
+/// Reads all TOML files at the paths; returns each file's name and text.
+///
+/// # Errors
+/// If a path cannot be read or there is no file.
 pub(crate) fn read_files(paths: &[PathBuf]) -> Result<Vec<(String, String)>, CommandError> {
     let mut texts = Vec::new();
     for path in paths {
@@ -52,6 +55,7 @@
     }
 }
 
+/// Returns the path itself if it is a file, or the sorted TOML files of a folder.
 fn files_at(path: &Path) -> Result<Vec<PathBuf>, CommandError> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
--- a/crates/sillbank_cli/src/control_client.rs
+++ b/crates/sillbank_cli/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Calls to a control process.
+//! Client of a control process's administration interface.
 
 use crate::CommandError;
 use bytes::Bytes;
@@ -12,18 +12,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time a call may take: a write may be read back several times.
+/// Timeout of a call. The control process may have to read a write back several times.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One control process.
-pub(crate) struct Remote {
+/// A client of one control process.
+pub(crate) struct ControlClient {
     http: HttpClient,
     address: SocketAddr,
     key: String,
 }
 
-impl Remote {
-    /// Takes the address from the argument or the environment, the key from the environment.
+impl ControlClient {
+    /// Creates a client. The address comes from the argument or `SILLBANK_CONTROL`, the key from
+    /// `SILLBANK_KEY`.
+    ///
+    /// # Errors
+    /// If no valid address is given.
     pub(crate) fn new(
         executor: Rc<LocalExecutor<'static>>,
         control: Option<String>,
@@ -32,13 +36,13 @@
             CommandError::Other("Name a control process with --control IP:PORT.".to_owned())
         })?;
         let address = text.parse().map_err(|_| {
-            CommandError::Other(format!("'{text}' is no address; write it as 127.0.0.1:9000."))
+            CommandError::Other(format!("'{text}' is not an address; write it as 127.0.0.1:9000."))
         })?;
         let key = std::env::var("SILLBANK_KEY").unwrap_or_default();
         Ok(Self { http: HttpClient::new(executor, 256 << 20), address, key })
     }
 
-    /// Reads a path.
+    /// Sends a GET request and parses the reply.
     pub(crate) async fn get<T: serde::de::DeserializeOwned>(
         &self,
         path: &str,
@@ -46,7 +50,7 @@
         self.send(request(Method::GET, path, Bytes::new())).await
     }
 
-    /// Reads an object, if it is there.
+    /// Returns an object, or `None` if it does not exist.
     pub(crate) async fn object(&self, key: &str) -> Result<Option<Object>, CommandError> {
         use sillbank_core::admin::AdminFailureKind;
         match self.get(&format!("/v1/objects/{key}")).await {
@@ -56,7 +60,8 @@
         }
     }
 
-    /// Writes or deletes an object that must still be at a version, or absent.
+    /// Writes an object, or deletes it if `value` is `None`. The object must still be at the
+    /// `expected` version, or absent if that is `None`.
     pub(crate) async fn write(
         &self,
         key: &str,
@@ -78,6 +83,7 @@
         self.send(call).await
     }
 
+    /// Adds the key, sends the request and parses the reply.
     async fn send<T: serde::de::DeserializeOwned>(
         &self,
         mut call: Request<Bytes>,
--- a/crates/sillbank_cli/src/main.rs
+++ b/crates/sillbank_cli/src/main.rs
@@ -1,22 +1,22 @@
-//! `sillbank`: the operators' command line.
+//! `sillbank`: the command line tool for operators.
 
 #![forbid(unsafe_code)]
 
 mod apply;
 mod check;
+mod control_client;
 mod explain;
-mod remote;
+mod request_trace;
 mod show;
-mod story;
 
 use argh::FromArgs;
 use smol::LocalExecutor;
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Operate a sillbank fleet: check and apply settings, look at what is in force.
-/// The control process is named with --control or SILLBANK_CONTROL, the key with SILLBANK_KEY.
-/// Exit codes: 0 done, 1 failed, 2 wrong arguments or settings, 3 somebody else's change is newer.
+/// Operate a sillbank fleet: check and apply settings, show what is in force.
+/// The control process is given by --control or SILLBANK_CONTROL, the key by SILLBANK_KEY.
+/// Exit codes: 0 done, 1 failed, 2 invalid arguments or settings, 3 conflict with a newer change.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -39,24 +39,24 @@
     HashKey(HashKeyArguments),
 }
 
-/// Print the hash of a key read from standard input, as settings keep it.
+/// Print the hash of a key read from standard input, in the form that settings store.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hash-key")]
 struct HashKeyArguments {}
 
-/// Why a command did not do what it was asked.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// Settings are not valid.
+    /// The settings are invalid.
     #[error("{0}")]
     Settings(#[from] sillbank_settings::reader::Problems),
-    /// The control process refused.
+    /// The control process refused the request.
     #[error("{0}")]
     Refused(#[from] sillbank_core::admin::AdminFailure),
-    /// The control process gave no answer.
+    /// The call to the control process failed.
     #[error("{0}")]
     Call(#[from] sillbank_net::client::CallError),
-    /// Anything else.
+    /// Any other error, with its message.
     #[error("{0}")]
     Other(String),
 }
--- a/crates/sillbank_cli/src/request_trace.rs
+++ b/crates/sillbank_cli/src/request_trace.rs
@@ -1,4 +1,4 @@
-//! The story of one request, out of the log files of several VMs.
+//! Collects the log lines about one request from the log files of several VMs.
 
 use crate::CommandError;
 use std::collections::BTreeSet;
@@ -7,14 +7,15 @@
 
 /// Fields of a log line that name an endpoint.
 const ENDPOINT_FIELDS: [&str; 2] = ["endpoint=\"", "at_fault=\""];
-/// Lines that tell a change of a belief about an endpoint begin like this after their level.
-const BELIEF_PREFIXES: [&str; 2] = ["endpoint: ", "order: "];
-/// How long before a request's first line beliefs still explain what was decided.
-const BEFORE: Duration = Duration::from_secs(5);
-/// Times of a line are seconds of its day.
+/// Prefixes, after the level, of log lines about the state of an endpoint.
+const ENDPOINT_PREFIXES: [&str; 2] = ["endpoint: ", "order: "];
+/// Time before a request's first line from which endpoint events are included: they still explain
+/// its decisions.
+const LOOKBACK: Duration = Duration::from_secs(5);
+/// Upper bound of the time of a line, which is in seconds of its day.
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// One line with its time.
+/// One log line with its time and file.
 #[derive(Debug, Clone, PartialEq)]
 struct Line {
     /// Seconds of the day.
@@ -23,23 +24,27 @@
     text: String,
 }
 
-/// Prints every line about a request, and what was believed of the endpoints it was sent to.
-pub(crate) fn tell(request: &str, files: &[PathBuf]) -> Result<(), CommandError> {
+/// Prints every log line about a request, and the events of the endpoints it was sent to.
+///
+/// # Errors
+/// If a file cannot be read, or no line has the request.
+pub(crate) fn print(request: &str, files: &[PathBuf]) -> Result<(), CommandError> {
     let mut lines = Vec::new();
     for file in files {
         lines.extend(read_lines(file)?);
     }
-    let told = select(lines, request);
-    if told.is_empty() {
+    let selected = select(lines, request);
+    if selected.is_empty() {
         let remedy = "name the log files of all VMs of its hall; lines may have been left out";
         return Err(CommandError::Other(format!("No line has request {request}; {remedy}.")));
     }
-    for line in told {
+    for line in selected {
         println!("{}: {}", line.file, line.text);
     }
     Ok(())
 }
 
+/// Reads the lines of a log file that have a time.
 fn read_lines(file: &Path) -> Result<Vec<Line>, CommandError> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| CommandError::Other(format!("{}: {error}", file.display())))?;
@@ -50,25 +55,31 @@
     Ok(text.lines().filter_map(to_line).collect())
 }
 
-/// Lines of the request, and beliefs about its endpoints while it was there or shortly before, in
-/// the order of their times.
+/// Returns the lines of the request, and the events of its endpoints while it was active or up to
+/// [`LOOKBACK`] before, in the order of their times.
 fn select(lines: Vec<Line>, request: &str) -> Vec<Line> {
-    let named = format!("request=\"{request}\"");
-    let own: Vec<&Line> = lines.iter().filter(|line| line.text.contains(&named)).collect();
-    let first = own.iter().map(|line| line.time_s).fold(f64::INFINITY, f64::min);
-    let last = own.iter().map(|line| line.time_s).fold(0.0, f64::max);
-    let endpoints: BTreeSet<&str> = own.iter().flat_map(|line| endpoints_in(&line.text)).collect();
-    let is_belief = |line: &&Line| {
-        let near = (first - BEFORE.as_secs_f64()..=last).contains(&line.time_s);
-        near && BELIEF_PREFIXES.iter().any(|prefix| line.text.contains(prefix))
+    let request_field = format!("request=\"{request}\"");
+    let request_lines: Vec<&Line> =
+        lines.iter().filter(|line| line.text.contains(&request_field)).collect();
+    let first = request_lines.iter().map(|line| line.time_s).fold(f64::INFINITY, f64::min);
+    let last = request_lines.iter().map(|line| line.time_s).fold(0.0, f64::max);
+    let endpoints: BTreeSet<&str> =
+        request_lines.iter().flat_map(|line| endpoints_in(&line.text)).collect();
+    let is_endpoint_event = |line: &&Line| {
+        let is_in_time = (first - LOOKBACK.as_secs_f64()..=last).contains(&line.time_s);
+        is_in_time
+            && ENDPOINT_PREFIXES.iter().any(|prefix| line.text.contains(prefix))
             && endpoints_in(&line.text).iter().any(|id| endpoints.contains(id))
     };
-    let beliefs = lines.iter().filter(|line| !line.text.contains(&named)).filter(is_belief);
-    let mut told: Vec<Line> = own.into_iter().chain(beliefs).cloned().collect();
-    told.sort_by(|a, b| a.time_s.total_cmp(&b.time_s));
-    told
+    let endpoint_events =
+        lines.iter().filter(|line| !line.text.contains(&request_field)).filter(is_endpoint_event);
+    let mut selected: Vec<Line> =
+        request_lines.into_iter().chain(endpoint_events).cloned().collect();
+    selected.sort_by(|a, b| a.time_s.total_cmp(&b.time_s));
+    selected
 }
 
+/// Returns the endpoints that a line names.
 fn endpoints_in(text: &str) -> Vec<&str> {
     let found = ENDPOINT_FIELDS.iter().filter_map(|field| {
         let (_, rest) = text.split_once(field)?;
@@ -77,8 +88,8 @@
     found.collect()
 }
 
-/// Seconds of the day in the first word of a line that is a time such as
-/// `2026-12-02T14:14:40.436951Z`; a word before it (as a collector adds) does no harm.
+/// Parses the first word of a line that is a time, such as `2026-12-02T14:14:40.436951Z`, into
+/// seconds of the day. Up to three words may precede it, such as those that log collectors add.
 fn read_time(text: &str) -> Option<f64> {
     text.split_whitespace().take(4).find_map(|word| {
         let (_, clock) = word.split_once('T')?;
--- a/crates/sillbank_cli/tests/story.rs
+++ b/crates/sillbank_cli/tests/story.rs
@@ -1,4 +1,4 @@
-//! `sillbank explain --request` tells one request's story from several log files.
+//! `sillbank explain --request` collects the log lines about one request from several files.
 #![allow(clippy::unwrap_used)]
 
 use std::path::PathBuf;
@@ -37,18 +37,21 @@
         .unwrap()
 }
 
+/// Lines of the request and recent events of its endpoints are printed in the order of time, with
+/// their files; older events and other requests are left out.
 #[test]
-fn lines_of_a_request_and_of_its_endpoints_are_told_in_order() {
+fn lines_of_a_request_and_of_its_endpoints_are_printed_in_order() {
     let files = log_files("order");
 
     let output = explain("r1", &files);
 
     let text = String::from_utf8(output.stdout).unwrap();
-    let told: Vec<&str> =
+    let selected: Vec<&str> =
         text.lines().map(|line| line.split_once("Z ").unwrap().1.trim()).collect();
-    let begins: Vec<&str> = told.iter().map(|line| line.split(". ").next().unwrap()).collect();
+    let beginnings: Vec<&str> =
+        selected.iter().map(|line| line.split(". ").next().unwrap()).collect();
     assert_eq!(
-        begins,
+        beginnings,
         [
             "INFO route: Sent",
             "WARN endpoint: Left alone",
@@ -60,6 +63,7 @@
     assert!(!text.contains("long ago") && !text.contains("r2"));
 }
 
+/// A request that no line has is an error that says which log files to give.
 #[test]
 fn an_unknown_request_is_an_error_with_a_remedy() {
     let files = log_files("unknown");
