--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls: one answer, read whole before it goes to the caller.
+//! Handles plain calls: one answer, buffered whole before it goes to the caller.
 
 use crate::answers::{
     deadline_failure, failure_outcome, failure_response, final_failure, with_min_retry_after,
@@ -6,7 +6,7 @@
 use crate::connection_pool::PooledConnection;
 use crate::crashes::{BrokenSend, check_broken_send};
 use crate::decisions::{FailedSend, Outcome};
-use crate::endpoints::{Evidence, Share};
+use crate::endpoints::{Evidence, RequestPart};
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::metrics::KindLabel;
@@ -28,24 +28,25 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Longest answer to a call that is held in memory.
+/// Largest answer to a call that is buffered.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// How many times the route's objective a call that may be repeated waits for one endpoint while
-/// another can be asked. Work of the sites known is over in that time but for one in a hundred.
-const PATIENCE: f64 = 1.5;
+/// Timeout of one try of a call that may be retried while another endpoint is available, as a
+/// multiple of the route's objective. On the known deployments 99 % of calls are answered within
+/// it.
+const TRY_TIMEOUT_OBJECTIVES: f64 = 1.5;
 
-/// Answers a call.
+/// Handles one call and returns the reply for its caller.
 pub async fn answer<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
 ) -> Response<ReplyBody> {
-    let watch = CallWatch { gateway, job, ended: std::cell::Cell::new(false) };
+    let guard = CallEndGuard { gateway, job, ended: std::cell::Cell::new(false) };
     let late = async {
         smol::Timer::at(job.deadline).await;
         Err(deadline_failure(job.run.get()))
     };
-    let ended = futures_lite::future::or(work(gateway, job), late).await;
-    watch.ended.set(true);
+    let ended = futures_lite::future::or(run(gateway, job), late).await;
+    guard.ended.set(true);
     match ended {
         Ok(reply) => {
             gateway.on_first_answer(job);
@@ -60,14 +61,14 @@
     }
 }
 
-/// Logs a call whose caller left: the future is dropped then.
-struct CallWatch<'a, W: Wire, S: MetadataStore> {
+/// Logs the end of a call whose caller disconnected, in which case the future is dropped.
+struct CallEndGuard<'a, W: Wire, S: MetadataStore> {
     gateway: &'a Gateway<W, S>,
     job: &'a Job,
     ended: std::cell::Cell<bool>,
 }
 
-impl<W: Wire, S: MetadataStore> Drop for CallWatch<'_, W, S> {
+impl<W: Wire, S: MetadataStore> Drop for CallEndGuard<'_, W, S> {
     fn drop(&mut self) {
         if !self.ended.get() {
             self.gateway.on_end(self.job, Outcome::CallerLeft, 0, 0, "the caller left");
@@ -75,15 +76,15 @@
     }
 }
 
-/// An endpoint to send a call to.
+/// The endpoint chosen for a call.
 struct Choice {
     endpoint: EndpointId,
     address: SocketAddr,
-    /// Whether there is another to turn to.
-    has_other: bool,
+    /// Whether another endpoint is available.
+    has_alternative: bool,
 }
 
-async fn work<W: Wire, S: MetadataStore>(
+async fn run<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
 ) -> Result<Response<ReplyBody>, Failure> {
@@ -91,8 +92,8 @@
     let mut attempts = SendAttempts::default();
     let mut held: Option<BufferedReply> = None;
     loop {
-        let choice = choose(gateway, job, &tried);
-        let withheld_for = gateway.note_withheld(job);
+        let choice = choose_endpoint(gateway, job, &tried);
+        let withheld_for = gateway.record_withheld(job);
         let choice = match choice {
             Ok(choice) => choice,
             Err(refused) => {
@@ -105,21 +106,21 @@
         gateway.count_against_limit(&choice.endpoint);
         let sent_at = Instant::now();
         let (left, reason) = match try_once(gateway, job, &choice).await {
-            Try::Done(reply) => {
-                gateway.on_ran_well(job);
+            TryOutcome::Success(reply) => {
+                gateway.on_request_survived(job);
                 return Ok(reply);
             }
-            Try::Failed(whole) => {
-                gateway.on_ran_well(job);
+            TryOutcome::Failed(whole) => {
+                gateway.on_request_survived(job);
                 let reason = format!("status {}", whole.reply.status().as_u16());
                 held = Some(whole);
                 (SendFailureKind::MayHaveRun, reason)
             }
-            Try::NotRun(reason) => (SendFailureKind::NotRun, reason),
-            Try::Misdirected(reason) => (SendFailureKind::Misdirected, reason),
-            Try::NotSent(reason) => (SendFailureKind::NotSent, reason),
-            Try::Late(reason) => (SendFailureKind::MayHaveRun, reason),
-            Try::Lost(reason) => {
+            TryOutcome::NotRun(reason) => (SendFailureKind::NotRun, reason),
+            TryOutcome::Misdirected(reason) => (SendFailureKind::Misdirected, reason),
+            TryOutcome::NotSent(reason) => (SendFailureKind::NotSent, reason),
+            TryOutcome::Late(reason) => (SendFailureKind::MayHaveRun, reason),
+            TryOutcome::Lost(reason) => {
                 let (endpoint, address) = (choice.endpoint.clone(), choice.address);
                 let broke_at = Instant::now();
                 let send =
@@ -139,15 +140,16 @@
             },
         );
         tried.push(choice.endpoint);
-        let goes_on = attempts.may_retry(gateway, job, left);
-        if !goes_on {
+        let may_retry = attempts.may_retry(gateway, job, left);
+        if !may_retry {
             let held = held.map(|whole| whole.reply);
             return held.ok_or_else(|| final_failure(job.run.get(), FailureKind::NoChain, &reason));
         }
     }
 }
 
-/// Refuses a call that is sent nowhere, or gives it up if it may have run.
+/// Builds the failure of a call that cannot be sent: a refusal, or a plain failure if it may have
+/// run.
 fn refuse<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
@@ -164,19 +166,21 @@
     }
 }
 
-/// What came of one send.
-enum Try {
+/// Outcome of one send.
+enum TryOutcome {
     /// The whole answer.
-    Done(Response<ReplyBody>),
-    /// The endpoint's own failure, whole.
+    Success(Response<ReplyBody>),
+    /// A failure reported by the endpoint itself.
     Failed(BufferedReply),
+    /// The endpoint proved that it did not run the call.
     NotRun(String),
-    /// The endpoint is not the one that was meant.
+    /// The endpoint that answered is not the intended one.
     Misdirected(String),
+    /// The call did not reach the endpoint.
     NotSent(String),
-    /// No answer came while another endpoint could be asked.
+    /// No answer within the try timeout.
     Late(String),
-    /// The connection ended without an answer, or the answer is none.
+    /// The connection broke without an answer, or the answer is invalid.
     Lost(String),
 }
 
@@ -184,32 +188,34 @@
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     choice: &Choice,
-) -> Try {
+) -> TryOutcome {
     let now = Instant::now();
-    gateway.decisions.sent(job, &choice.endpoint, None, None, gateway.knowledge.stamp(now));
-    let _in_flight =
-        gateway.book.begin(vec![Share { endpoint: choice.endpoint.clone(), kv: 0.0 }], now);
+    gateway.decisions.sent(job, &choice.endpoint, None, None, gateway.platform.stamp(now));
+    let _in_flight = gateway
+        .endpoint_tracker
+        .start(vec![RequestPart { endpoint: choice.endpoint.clone(), kv: 0.0 }], now);
     let exchange = exchange(gateway, job, choice);
-    let may_turn = job.is_idempotent() && choice.has_other && job.may_send_again(now);
-    if !may_turn {
+    let may_try_another = job.is_idempotent() && choice.has_alternative && job.may_send_again(now);
+    if !may_try_another {
         return exchange.await;
     }
-    let patience = job.route.objective.mul_f64(PATIENCE);
-    let impatient = async {
-        smol::Timer::after(patience).await;
+    let try_timeout = job.route.objective.mul_f64(TRY_TIMEOUT_OBJECTIVES);
+    let timeout = async {
+        smol::Timer::after(try_timeout).await;
         gateway.on_evidence(&choice.endpoint, Evidence::Failed, now, "no answer in time");
-        Try::Late(format!("no answer within {} ms", patience.as_millis()))
+        TryOutcome::Late(format!("no answer within {} ms", try_timeout.as_millis()))
     };
-    futures_lite::future::or(exchange, impatient).await
+    futures_lite::future::or(exchange, timeout).await
 }
 
 async fn exchange<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     choice: &Choice,
-) -> Try {
+) -> TryOutcome {
     let to = Destination { endpoint: &choice.endpoint, address: choice.address, path: None };
-    let watch = gateway.call_book.watch(&job.service.name, &choice.endpoint, Instant::now());
+    let timer =
+        gateway.call_tracker.start_timer(&job.service.name, &choice.endpoint, Instant::now());
     let sent_at = Instant::now();
     let sent = send(gateway, job, to, None).await;
     if let Some(evidence) = health_evidence(&sent) {
@@ -219,38 +225,38 @@
         SendOutcome::Success(reply, channel) => {
             match whole_answer(gateway, choice, reply, channel).await {
                 Ok(whole) => {
-                    watch.on_answer();
-                    Try::Done(whole.reply)
+                    timer.record_answer();
+                    TryOutcome::Success(whole.reply)
                 }
-                Err(reason) => Try::Lost(reason),
+                Err(reason) => TryOutcome::Lost(reason),
             }
         }
         SendOutcome::Failure(reply, channel) => {
             match whole_answer(gateway, choice, reply, channel).await {
-                Ok(whole) => Try::Failed(whole),
-                Err(reason) => Try::Lost(reason),
+                Ok(whole) => TryOutcome::Failed(whole),
+                Err(reason) => TryOutcome::Lost(reason),
             }
         }
         SendOutcome::NotRun(refusal) => {
             let reason = format!("the endpoint refused with status {}", refusal.status);
             if !refusal.misdirected {
-                watch.on_full();
-                return Try::NotRun(reason);
+                timer.record_full();
+                return TryOutcome::NotRun(reason);
             }
-            watch.on_nothing();
+            timer.discard();
             let endpoint = &choice.endpoint;
             gateway.on_evidence(endpoint, Evidence::Unreachable, sent_at, "misdirected");
-            Try::Misdirected(reason)
+            TryOutcome::Misdirected(reason)
         }
         SendOutcome::NotSent(reason) => {
-            watch.on_nothing();
-            Try::NotSent(reason)
+            timer.discard();
+            TryOutcome::NotSent(reason)
         }
-        SendOutcome::Lost(reason) => Try::Lost(reason),
+        SendOutcome::Lost(reason) => TryOutcome::Lost(reason),
     }
 }
 
-/// Reads an answer whole and keeps its connection.
+/// Reads a whole answer and returns its connection to the pool.
 async fn whole_answer<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     choice: &Choice,
@@ -262,8 +268,8 @@
     Ok(whole)
 }
 
-/// The endpoint that a call goes to: one that was not tried and can end it in time, preferably at home.
-fn choose<W: Wire, S: MetadataStore>(
+/// Chooses an endpoint that was not tried yet and can answer in time, preferably in the local hall.
+fn choose_endpoint<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
     tried: &[EndpointId],
@@ -271,32 +277,33 @@
     let now = Instant::now();
     let settings = gateway.settings();
     let draw = || gateway.chance.fraction();
-    let views = gateway.views(now);
-    gateway.knowledge.endpoints(|directory| {
+    let context = gateway.routing_context(now);
+    gateway.platform.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
         let mut records: Vec<_> = usable.filter(|record| !tried.contains(&record.id)).collect();
-        let takes_work = |record: &&EndpointRecord| gateway.book.takes_work(&record.id, now);
-        // While all are left alone, the least bad is better than none.
-        if records.iter().any(takes_work) {
-            records.retain(takes_work);
+        let accepts_work =
+            |record: &&EndpointRecord| gateway.endpoint_tracker.accepts_work(&record.id, now);
+        // If all endpoints are ejected, the least bad one is better than none.
+        if records.iter().any(accepts_work) {
+            records.retain(accepts_work);
         }
         if let [only] = records.as_slice()
             && !tried.contains(&only.id)
-            && let Some(retry_after) = gateway.kept_apart_for(job)
-            && directory.usable_of(&job.service.name).filter(|r| takes_work(r)).count() == 1
+            && let Some(retry_after) = gateway.isolated_for(job)
+            && directory.usable_of(&job.service.name).filter(|r| accepts_work(r)).count() == 1
         {
             return Err(CallRefusal { reason: CallRefusalReason::Isolated, retry_after });
         }
         let had_records = !records.is_empty();
-        records.retain(|record| views.may_send(&record.id));
+        records.retain(|record| context.may_send(&record.id));
         if had_records && records.is_empty() {
-            let (reason, retry_after) = (CallRefusalReason::Withheld, gateway.come_back(job));
+            let (reason, retry_after) = (CallRefusalReason::Withheld, gateway.retry_after(job));
             return Err(CallRefusal { reason, retry_after });
         }
         let candidates = records.iter().map(|record| CallCandidate {
             endpoint: &record.id,
             is_local: record.hall == settings.hall,
-            in_flight: gateway.book.in_flight(&record.id),
+            in_flight: gateway.endpoint_tracker.in_flight(&record.id),
             slots: record.slots,
         });
         let candidates: Vec<CallCandidate<'_>> = candidates.collect();
@@ -307,9 +314,9 @@
         };
         let choice = match settings.mechanisms.calls_in_time {
             true => gateway
-                .call_book
+                .call_tracker
                 .with(&job.service.name, |times| times.choose(&candidates, ask, now, draw)),
-            // By what is in flight alone.
+            // By requests in flight alone.
             false => CallBalancer::default().choose(&candidates, ask, now, draw),
         };
         match choice {
@@ -317,7 +324,7 @@
             CallDecision::Send(at) => Ok(Choice {
                 endpoint: records[at].id.clone(),
                 address: records[at].address,
-                has_other: records.len() > 1,
+                has_alternative: records.len() > 1,
             }),
         }
     })
--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -5,7 +5,7 @@
 
 use crate::crashes::BrokenSend;
 use crate::job::Job;
-use crate::knowledge::KnowledgeStamp;
+use crate::platform_view::ViewStamp;
 use crate::revision::Revision;
 use crate::wire::OrderOutcome;
 use sillbank_catalog::prelude::*;
@@ -84,7 +84,7 @@
 
 impl DecisionLog {
     /// A request was refused before it was admitted.
-    pub fn refused(&self, request_id: &str, failure: &Failure, stamp: KnowledgeStamp) {
+    pub fn refused(&self, request_id: &str, failure: &Failure, stamp: ViewStamp) {
         if self.take_line() {
             tracing::info!(
                 request = request_id,
@@ -106,7 +106,7 @@
         endpoint: &str,
         path: Option<&LayerPath>,
         resume_after: Option<u64>,
-        stamp: KnowledgeStamp,
+        stamp: ViewStamp,
     ) {
         if self.take_line() {
             tracing::info!(
@@ -178,7 +178,7 @@
         lost: &[EndpointId],
         path: &LayerPath,
         outcome: OrderOutcome,
-        stamp: KnowledgeStamp,
+        stamp: ViewStamp,
     ) {
         if self.take_line() {
             tracing::info!(
@@ -257,7 +257,7 @@
     }
 
     /// An endpoint's entry was removed.
-    pub fn endpoint_removed(&self, id: &str, removal: Removal, stamp: KnowledgeStamp) {
+    pub fn endpoint_removed(&self, id: &str, removal: Removal, stamp: ViewStamp) {
         tracing::info!(
             endpoint = id,
             meaning = ?removal,
--- a/crates/sillbank_gateway/src/retries.rs
+++ b/crates/sillbank_gateway/src/retries.rs
@@ -45,7 +45,7 @@
         job: &Job,
         kind: SendFailureKind,
     ) -> bool {
-        if kind != SendFailureKind::NotSent && gateway.held_back(job).is_some() {
+        if kind != SendFailureKind::NotSent && gateway.quarantined_for(job).is_some() {
             return false;
         }
         match kind {
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -4,7 +4,7 @@
 use super::target::Target;
 use crate::connection_pool::PooledConnection;
 use crate::crashes::BrokenSend;
-use crate::endpoints::{Evidence, InFlight, Share};
+use crate::endpoints::{Evidence, InFlightGuard, RequestPart};
 use crate::events::EventSplitter;
 use crate::gateway::Gateway;
 use crate::job::{Job, engine_shares};
@@ -36,7 +36,7 @@
     pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
     pub(super) splitter: EventSplitter,
-    pub(super) _in_flight: InFlight,
+    pub(super) _in_flight: InFlightGuard,
     pub(super) sent_at: Instant,
     /// When the first event arrived from this endpoint.
     pub(super) first_event_at: Option<Instant>,
@@ -106,9 +106,9 @@
     let sent_at = Instant::now();
     let shares = match (&target.path, &job.service.engine) {
         (Some(path), Some(figures)) => engine_shares(path, job.demand(figures)),
-        _ => vec![Share { endpoint: target.endpoint.clone(), kv: 0.0 }],
+        _ => vec![RequestPart { endpoint: target.endpoint.clone(), kv: 0.0 }],
     };
-    let in_flight = gateway.book.begin(shares, sent_at);
+    let in_flight = gateway.endpoint_tracker.start(shares, sent_at);
     let endpoint = target.endpoint.clone();
     let path = target.path.clone();
     let to = Destination { endpoint: &endpoint, address: target.address, path: path.as_ref() };
@@ -171,7 +171,7 @@
                 gateway.load.on_sent(&job.service.name, false, Instant::now());
             }
             if refusal.misdirected || at_fault.is_some() {
-                gateway.on_evidence(blamed, Evidence::LacksPart, sent_at, &reason);
+                gateway.on_evidence(blamed, Evidence::RefusedPart, sent_at, &reason);
             }
             let kind = if refusal.misdirected {
                 SendFailureKind::Misdirected
--- a/crates/sillbank_gateway/src/streams/open.rs
+++ b/crates/sillbank_gateway/src/streams/open.rs
@@ -7,7 +7,7 @@
 use crate::decisions::FailedSend;
 use crate::gateway::Gateway;
 use crate::job::Job;
-use crate::load::LoadAsk;
+use crate::load::AdmissionRequest;
 use crate::retries::SendAttempts;
 use crate::store::MetadataStore;
 use crate::wire::{EventNumber, Wire};
@@ -34,7 +34,7 @@
     }
     loop {
         let target = choose_target(gateway, job, resume_after, &avoid);
-        let retry_after = gateway.note_withheld(job);
+        let retry_after = gateway.record_withheld(job);
         let target = match target {
             Ok(target) => target,
             Err(NoTarget::Withheld) => {
@@ -59,12 +59,12 @@
         attempts.record_send(job);
         gateway.count_against_limit(&target.endpoint);
         let sent_at = Instant::now();
-        let stamp = gateway.knowledge.stamp(sent_at);
+        let stamp = gateway.platform.stamp(sent_at);
         let address = target.address;
         gateway.decisions.sent(job, &target.endpoint, target.path.as_ref(), resume_after, stamp);
         let failed = match send_once(gateway, job, target, resume_after).await {
             AttemptResult::Replied(reply) => {
-                gateway.on_let_in(job);
+                gateway.on_admitted(job);
                 return Ok(reply);
             }
             AttemptResult::Failed(failed) => failed,
@@ -105,18 +105,18 @@
     if !gateway.settings().mechanisms.ladder {
         return Ok(());
     }
-    let ask = LoadAsk {
+    let ask = AdmissionRequest {
         service: &job.service,
         figures,
         route: &job.route,
-        urgency: job.priority(),
+        priority: job.priority(),
         left: job.head.time_left,
         draw: gateway.chance.fraction(),
     };
-    let admitted = gateway.load.admit(gateway.views(Instant::now()), ask);
+    let admitted = gateway.load.admit(gateway.routing_context(Instant::now()), ask);
     let metrics = &gateway.metrics.shedding;
-    metrics.record_admission(&job.service.name, ask.urgency, admitted);
-    if let Some(estimate) = gateway.load.believed(&job.service.name) {
+    metrics.record_admission(&job.service.name, ask.priority, admitted);
+    if let Some(estimate) = gateway.load.estimate(&job.service.name) {
         metrics.set_estimate(&job.service.name, estimate);
     }
     admitted.map_err(|refusal| match refusal.is_late {
@@ -131,11 +131,11 @@
 fn refuse<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, job: &Job, reason: &str) -> Failure {
     let failure = final_failure(job.run.get(), FailureKind::NoChain, reason);
     match failure.retry_after {
-        Some(_) if !gateway.knowledge.knows_endpoints() => {
+        Some(_) if !gateway.platform.knows_endpoints() => {
             failure.retry_after(RETRY_AFTER_NOT_READY)
         }
         Some(_) if gateway.settings().mechanisms.return_times => {
-            failure.retry_after(gateway.come_back(job))
+            failure.retry_after(gateway.retry_after(job))
         }
         _ => failure,
     }
--- a/crates/sillbank_gateway/src/streams/target.rs
+++ b/crates/sillbank_gateway/src/streams/target.rs
@@ -3,7 +3,8 @@
 use crate::gateway::Gateway;
 use crate::job::{Job, path_ask};
 use crate::paths::{
-    PathAsk, choose_any_path, choose_path, first_engines, has_withheld_path, risked_engine,
+    PathRequest, choose_any_path, choose_path, first_engines, has_path_despite_pushback,
+    isolation_engine,
 };
 use crate::store::MetadataStore;
 use crate::wire::{EventNumber, Wire};
@@ -57,30 +58,31 @@
     let Some(figures) = &job.service.engine else {
         return choose_endpoint(gateway, job, avoid, now);
     };
-    let views = gateway.views(now);
+    let context = gateway.routing_context(now);
     let ask = path_ask(job, figures, &local_hall, avoid);
     let mut avoid = avoid.to_vec();
-    if let Some(remaining) = gateway.kept_apart_for(job) {
-        let mut candidates = first_engines(views, ask);
+    if let Some(remaining) = gateway.isolated_for(job) {
+        let mut candidates = first_engines(context, ask);
         // An endpoint that the request has tried counts again once it has restarted.
-        let has_restarted = |first: &str| gateway.book.renewed_since(first, job.received_at);
+        let has_restarted =
+            |first: &str| gateway.endpoint_tracker.restarted_since(first, job.received_at);
         candidates.retain(|first| !avoid.contains(first) || has_restarted(first));
-        let Some(chosen) = risked_engine(&candidates, &avoid) else {
+        let Some(chosen) = isolation_engine(&candidates, &avoid) else {
             return Err(NoTarget::Isolated(remaining));
         };
         avoid.extend(candidates.iter().filter(|first| *first != chosen).cloned());
     }
-    let ask = PathAsk { avoid: &avoid, ..ask };
-    if let Some(path) = choose_path(views, ask) {
-        if views.mechanisms.forecasts {
-            job.forecast.get_or_init(|| gateway.forecasts.predict(views, ask, &path));
+    let ask = PathRequest { avoid: &avoid, ..ask };
+    if let Some(path) = choose_path(context, ask) {
+        if context.mechanisms.forecasts {
+            job.forecast.get_or_init(|| gateway.forecasts.predict(context, ask, &path));
         }
         return Ok(Target::from_path(path));
     }
-    match choose_any_path(views, ask) {
+    match choose_any_path(context, ask) {
         Some(path) if resume_after.is_some() => Ok(Target::from_path(path)),
         Some(_) => Err(NoTarget::NoRoom),
-        None if has_withheld_path(views, ask) => Err(NoTarget::Withheld),
+        None if has_path_despite_pushback(context, ask) => Err(NoTarget::Withheld),
         None => Err(NoTarget::NoPath),
     }
 }
@@ -100,16 +102,17 @@
     now: Instant,
 ) -> Result<Target, NoTarget> {
     let local_hall = gateway.settings().hall.clone();
-    let views = gateway.views(now);
-    gateway.knowledge.endpoints(|directory| {
+    let context = gateway.routing_context(now);
+    gateway.platform.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
         let available = usable.filter(|record| {
-            !avoid.contains(&record.id) && gateway.book.takes_work(&record.id, now)
+            !avoid.contains(&record.id) && gateway.endpoint_tracker.accepts_work(&record.id, now)
         });
         let available: Vec<_> = available.collect();
-        let may_send = available.iter().filter(|record| views.may_send(&record.id));
-        let best = may_send
-            .min_by_key(|record| (gateway.book.in_flight(&record.id), record.hall != local_hall));
+        let may_send = available.iter().filter(|record| context.may_send(&record.id));
+        let best = may_send.min_by_key(|record| {
+            (gateway.endpoint_tracker.in_flight(&record.id), record.hall != local_hall)
+        });
         match best {
             Some(best) => {
                 Ok(Target { endpoint: best.id.clone(), address: best.address, path: None })
