--- a/crates/sillbank_load/src/fleet.rs
+++ b/crates/sillbank_load/src/fleet.rs
@@ -112,7 +112,7 @@
 }
 
 impl Addresses {
-    /// Reads `addresses.json` from the folder that [`write`] wrote to.
+    /// Reads `addresses.json` from the folder that [`write()`] wrote to.
     ///
     /// # Errors
     /// If the file cannot be read or parsed.
