--- a/crates/sillbank_entry/src/admin.rs
+++ b/crates/sillbank_entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health, readiness, metrics and status over HTTP.
+//! HTTP interface for health, readiness, metrics and status.
 
 use crate::state::Entry;
 use hyper::body::Incoming;
@@ -9,9 +9,9 @@
 use smol::net::TcpListener;
 use std::rc::Rc;
 
-/// Health, readiness, metrics and status.
+/// Serves health, readiness, metrics and status over HTTP.
 pub(crate) struct AdminPlugin {
-    /// Where they are asked for.
+    /// Listener of the admin address.
     pub(crate) listener: TcpListener,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Answers the balancer, the platform's health checks and operators.
+/// Answers the load balancer, the platform's health checks and operators.
 struct AdminHandler {
     entry: Rc<Entry>,
 }
--- a/crates/sillbank_entry/src/callers.rs
+++ b/crates/sillbank_entry/src/callers.rs
@@ -1,11 +1,11 @@
-//! The callers' interface.
+//! HTTP interface for callers.
 
-use crate::chat::{ChatRequest, whole_answer};
-use crate::drive::{DriveRequest, drive};
+use crate::chat::{ChatRequest, complete_answer};
+use crate::execution::{ExecutionRequest, execute};
 use crate::in_flight::Progress;
 use crate::mailbox::Mailbox;
-use crate::reading::{authenticate, deadline, number_header, read_body, request_id};
-use crate::sink::{Head, Sink};
+use crate::request_input::{authenticate, number_header, read_body, request_id, request_timeout};
+use crate::sink::{ReplyHead, Sink};
 use crate::state::Entry;
 use crate::trace::TraceContext;
 use hyper::body::Incoming;
@@ -23,65 +23,66 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// When to come back after a refusal for want of room or of endpoints.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry-after time of a refusal because the VM is not ready or stopping, or no chain of endpoints is available.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the operating system keeps of an answer for a caller that does not read, beside `stream_buffer_bytes`.
-/// It takes up to twice as much memory for it.
+/// Size of a caller connection's send buffer in the kernel, in addition to `stream_buffer_bytes`. The kernel uses up to
+/// twice as much memory.
 ///
-/// Without a bound Linux keeps up to 4 MB a caller (`ss -tm`): an answer of 3.5 MB, 17,700 tokens, at times went out
-/// whole to a caller that read nothing, and otherwise kept its engines at work for 16,000 tokens before it was found
-/// to stand still. A caller 1 ms away can still get 128 MB/s, one that is 100 ms away 1.3 MB/s, 6,500 tokens.
+/// Without a limit Linux buffers up to 4 MB for each caller (`ss -tm`): an answer of 3.5 MB (17,700 tokens) to a caller
+/// that read nothing was at times sent in full; otherwise its engines worked for 16,000 tokens before the caller was
+/// found to have stalled. With this limit a caller with a latency of 1 ms can still get 128 MB/s, one with 100 ms
+/// 1.3 MB/s (6,500 tokens/s).
 const SEND_BUFFER_BYTES: usize = 128 << 10;
 
-/// The callers' interface.
+/// Serves the callers' HTTP interface.
 pub(crate) struct CallersPlugin {
-    /// Where callers come.
+    /// Listener of the callers' address.
     pub(crate) listener: TcpListener,
-    /// Bounds on what they may do.
+    /// Limits on their connections and requests.
     pub(crate) limits: ServerLimits,
 }
 
 impl Plugin<Entry> for CallersPlugin {
     fn build(self, app: &App<Entry>) {
         let handler = Rc::new(CallerHandler { entry: app.state() });
-        bound_send_buffers(&self.listener);
+        limit_send_buffers(&self.listener);
         app.spawn(serve(app.executor(), self.listener, self.limits, handler));
     }
 }
 
-/// Bounds what the system keeps for callers; connections take it over from their listener.
-fn bound_send_buffers(listener: &TcpListener) {
+/// Limits the send buffers of caller connections, which inherit the option from their listener.
+fn limit_send_buffers(listener: &TcpListener) {
     if let Err(error) = set_socket_send_buffer_size(listener, SEND_BUFFER_BYTES) {
         tracing::warn!(
-            "entry: Callers that stop reading are found late, as their buffers are not bounded: {error}."
+            "entry: The send buffers of callers could not be limited, stalled callers are detected late: {error}."
         );
     }
 }
 
-/// Answers callers.
+/// Handles callers' requests.
 struct CallerHandler {
     entry: Rc<Entry>,
 }
 
-/// What every request brings besides its body.
+/// Data of every request besides its body.
 pub(crate) struct CallerContext {
     pub(crate) organisation: OrganisationId,
     pub(crate) request_id: String,
     pub(crate) trace: TraceContext,
     pub(crate) headers: HeaderMap,
-    pub(crate) arrived: Instant,
+    pub(crate) received_at: Instant,
 }
 
 impl CallerHandler {
     async fn answer(&self, request: Request<Incoming>) -> Result<Response<ReplyBody>, Failure> {
         if self.entry.stop.is_stopping() {
             let failure = Failure::before_work(FailureKind::Stopping, "The VM is stopping.");
-            return Err(failure.retry_after(COME_BACK));
+            return Err(failure.retry_after(RETRY_AFTER));
         }
         if self.entry.in_force.get() == 0 {
             let failure = Failure::before_work(FailureKind::NotReady, "No settings have come yet.");
-            return Err(failure.retry_after(COME_BACK));
+            return Err(failure.retry_after(RETRY_AFTER));
         }
         let (head, body) = request.into_parts();
         let context = self.context(&head.headers)?;
@@ -112,7 +113,7 @@
             request_id,
             trace,
             headers: headers.clone(),
-            arrived: Instant::now(),
+            received_at: Instant::now(),
         })
     }
 
@@ -124,7 +125,7 @@
         let chat: ChatRequest = serde_json::from_slice(body).map_err(|e| {
             Failure::before_work(FailureKind::MalformedBody, format!("The body is not read: {e}."))
         })?;
-        let (policy, layers) = self.pipeline_of(&context, &chat.model)?;
+        let (policy, layers) = self.find_pipeline(&context, &chat.model)?;
         let request = self.plan(&context, &chat, &policy, layers).await?;
         let admitted = self.admit(&context, &request, &policy)?;
         let prompt_tokens = request.plan.prompt.len() as u32;
@@ -145,22 +146,22 @@
         let progress = Progress::new(context.request_id.clone());
         self.entry.stop.generations.register(id, request.mailbox.clone(), progress.clone());
         let entry = self.entry.clone();
-        let work = async move {
-            drive(entry.clone(), request, progress, sink).await;
+        let task = async move {
+            execute(entry.clone(), request, progress, sink).await;
             entry.stop.generations.unregister(id);
             drop(admitted);
         };
-        self.entry.executor.spawn(work).detach();
+        self.entry.executor.spawn(task).detach();
         let head = head.recv().await.unwrap_or_else(|_| {
             let reason = "The caller has gone.";
             Err(Failure::new(FailureKind::CallerStalled, RunState::Unknown, reason))
         })?;
         let mut reply = match head {
-            Head::Stream => stream_reply(outbox_body),
-            Head::Whole { text, tokens, reason } => {
-                let whole =
-                    whole_answer(&answer_id, &chat.model, text, prompt_tokens, tokens, reason);
-                json_reply(StatusCode::OK, &whole)
+            ReplyHead::Stream => stream_reply(outbox_body),
+            ReplyHead::Complete { text, tokens, reason } => {
+                let answer =
+                    complete_answer(&answer_id, &chat.model, text, prompt_tokens, tokens, reason);
+                json_reply(StatusCode::OK, &answer)
             }
         };
         let headers = reply.headers_mut();
@@ -171,8 +172,8 @@
         Ok(reply)
     }
 
-    /// The pipeline's policy and layers, if the organisation may call it.
-    fn pipeline_of(&self, context: &CallerContext, name: &str) -> Result<(Policy, u16), Failure> {
+    /// The pipeline's policy and number of layers, if the organisation may call it.
+    fn find_pipeline(&self, context: &CallerContext, name: &str) -> Result<(Policy, u16), Failure> {
         let tree = self.entry.tree.borrow();
         let found = tree
             .pipeline(name)
@@ -184,26 +185,26 @@
         Ok((tree.effective(&format!("pipeline/{name}")).policy, pipeline.layers))
     }
 
-    /// Lets a planned request in, or gives its chain back.
+    /// Admits a planned request; on refusal it releases the endpoints of its chain.
     fn admit(
         &self,
         context: &CallerContext,
-        request: &DriveRequest,
+        request: &ExecutionRequest,
         policy: &Policy,
-    ) -> Result<Admitted, Failure> {
-        let left = request.deadline.saturating_duration_since(Instant::now());
-        let known = request.plan.known.len() as u32;
-        let tokens = request.plan.max_tokens.saturating_sub(known);
-        let prompt = request.plan.prompt.len() as u32 + known;
+    ) -> Result<AdmissionGuard, Failure> {
+        let remaining = request.deadline.saturating_duration_since(Instant::now());
+        let known_tokens = request.plan.known.len() as u32;
+        let tokens = request.plan.max_tokens.saturating_sub(known_tokens);
+        let prompt = request.plan.prompt.len() as u32 + known_tokens;
         let forecast = {
             let table = self.entry.table.borrow();
             Forecast {
                 predicted: table.predict(&request.chain, prompt, tokens),
                 backlog: table.backlog(&request.chain),
-                deadline: left,
+                deadline: remaining,
             }
         };
-        let admitted = Admitted::new(
+        let admitted = AdmissionGuard::new(
             &self.entry,
             &context.organisation,
             u64::from(request.kv_tokens),
@@ -211,7 +212,7 @@
             forecast,
         );
         if admitted.is_err() {
-            request.chain.iter().for_each(|link| self.entry.leave_endpoint(link.endpoint));
+            request.chain.iter().for_each(|link| self.entry.release_endpoint(link.endpoint));
         }
         admitted
     }
@@ -222,14 +223,14 @@
         chat: &ChatRequest,
         policy: &Policy,
         layers: u16,
-    ) -> Result<DriveRequest, Failure> {
+    ) -> Result<ExecutionRequest, Failure> {
         let prompt = chat.prompt();
         if prompt.is_empty() {
             let reason = "The messages hold no word.";
             return Err(Failure::before_work(FailureKind::MalformedBody, reason));
         }
         let max_tokens = u64::from(chat.max_tokens.unwrap_or(256)).min(policy.max_answer_tokens);
-        let deadline = deadline(&context.headers, policy.deadline_ms)?;
+        let deadline = request_timeout(&context.headers, policy.deadline_ms)?;
         if deadline.is_zero() {
             let reason = "The deadline had passed when the request came.";
             return Err(Failure::before_work(FailureKind::DeadlineExceeded, reason));
@@ -242,7 +243,7 @@
             _ => crate::resume::known_tokens(&self.entry, &chat.model, uid, &prompt).await,
         };
         known.truncate(max_tokens as usize);
-        let chain = self.entry.take_chain(&ChainRequest {
+        let chain = self.entry.reserve_chain(&ChainRequest {
             pipeline: &chat.model,
             layers: LayerRange { first: 0, end: layers },
             kv_tokens,
@@ -252,7 +253,7 @@
         });
         let Some(chain) = chain else {
             let reason = format!("No chain of endpoints covers pipeline '{}'.", chat.model);
-            return Err(Failure::before_work(FailureKind::NoChain, reason).retry_after(COME_BACK));
+            return Err(Failure::before_work(FailureKind::NoChain, reason).retry_after(RETRY_AFTER));
         };
         let plan = Plan {
             uid,
@@ -267,23 +268,24 @@
             stages: chain.iter().map(|link| link.layers).collect(),
             max_losses: policy.max_losses as u32,
         };
-        Ok(DriveRequest {
+        Ok(ExecutionRequest {
             plan,
             chain,
             pipeline: chat.model.clone(),
             kv_tokens,
-            deadline: context.arrived + deadline,
+            deadline: context.received_at + deadline,
             mailbox: Mailbox::default(),
         })
     }
 
-    /// An attempt that is above those of earlier VMs unless this VM's clock lags: the wall
-    /// clock's milliseconds over a draw. Where it lags, the engine names the number to go above.
+    /// The first attempt number: wall-clock milliseconds in the high bits, random low bits. It is
+    /// greater than the attempts of earlier VMs unless this VM's clock lags; in that case the
+    /// engine's refusal names the number to exceed.
     fn first_attempt(&self) -> Attempt {
-        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let count = since.map_or(0, |since| since.as_millis() as u64);
-        let draw = self.entry.rng.borrow_mut().u64(..ATTEMPT_RAISE);
-        count << ATTEMPT_DRAW_BITS | draw
+        let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        let millis = since_epoch.map_or(0, |time| time.as_millis() as u64);
+        let random = self.entry.rng.borrow_mut().u64(..ATTEMPT_RAISE);
+        millis << ATTEMPT_DRAW_BITS | random
     }
 }
 
@@ -311,25 +313,25 @@
     reply
 }
 
-/// How a request is expected to fare.
+/// Input of admission control about one request.
 pub(crate) struct Forecast {
-    /// When it ends, from now, if that can be told.
+    /// Predicted time until the request ends, if it can be predicted.
     pub(crate) predicted: Option<Duration>,
-    /// Steps that wait for each one in a batch, at the fullest engine of its chain.
+    /// Waiting steps for each step in a batch, at the most loaded engine of the chain.
     pub(crate) backlog: f64,
-    /// Time it has.
+    /// Time left until the request's deadline.
     pub(crate) deadline: Duration,
 }
 
-/// A request that was let in; dropping it makes room for the next.
-pub(crate) struct Admitted {
+/// An admitted request; dropping the guard releases its share of the VM's limits.
+pub(crate) struct AdmissionGuard {
     entry: Rc<Entry>,
     organisation: OrganisationId,
     work_tokens: u64,
 }
 
-impl Admitted {
-    /// Lets a request in, or refuses it and says when to come back.
+impl AdmissionGuard {
+    /// Admits a request, or refuses it with a retry-after time.
     pub(crate) fn new(
         entry: &Rc<Entry>,
         organisation: &str,
@@ -338,7 +340,7 @@
         forecast: Forecast,
     ) -> Result<Self, Failure> {
         let policy = entry.tree.borrow().effective(&format!("organisation/{organisation}")).policy;
-        let ask = AdmissionRequest {
+        let request = AdmissionRequest {
             organisation,
             weight: policy.weight,
             work_tokens,
@@ -348,22 +350,22 @@
             limit_tokens,
             limit_requests: policy.max_in_flight,
         };
-        entry.admission.borrow_mut().admit(&ask).map_err(|refused| {
-            let reason = match refused.reason {
+        entry.admission.borrow_mut().admit(&request).map_err(|refusal| {
+            let reason = match refusal.reason {
                 RefusalReason::DeadlineUnreachable => "It cannot end in time now.",
                 RefusalReason::TooManyTokens => "The VM has as many tokens in work as it may.",
                 RefusalReason::TooManyRequests => {
                     "The organisation has as many requests as it may."
                 }
             };
-            Failure::before_work(FailureKind::Overloaded, reason).retry_after(refused.retry_after)
+            Failure::before_work(FailureKind::Overloaded, reason).retry_after(refusal.retry_after)
         })?;
         entry.metrics.in_flight.inc();
         Ok(Self { entry: entry.clone(), organisation: organisation.to_owned(), work_tokens })
     }
 }
 
-impl Drop for Admitted {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         self.entry.metrics.in_flight.dec();
         self.entry.admission.borrow_mut().release(&self.organisation, self.work_tokens);
--- a/crates/sillbank_entry/src/chat.rs
+++ b/crates/sillbank_entry/src/chat.rs
@@ -1,39 +1,39 @@
-//! The shapes of `POST /v1/chat/completions`, as client libraries of this field speak them.
+//! JSON types of `POST /v1/chat/completions`, in the format that common client libraries use.
 
 use bytes::{BufMut, BytesMut};
 use serde::{Deserialize, Serialize};
 use sillbank_core::prelude::*;
 
-/// Body of a request. Fields that sillbank does not use are accepted and left alone.
+/// Body of a request. Fields that sillbank does not use are accepted and ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct ChatRequest {
-    /// Pipeline.
+    /// Name of the pipeline.
     pub(crate) model: PipelineId,
-    /// What was said so far.
+    /// The conversation so far.
     pub(crate) messages: Vec<Message>,
-    /// Longest answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     #[serde(alias = "max_completion_tokens")]
     pub(crate) max_tokens: Option<u32>,
-    /// Whether the answer comes as events.
+    /// Whether the answer is streamed as server-sent events.
     #[serde(default)]
     pub(crate) stream: bool,
-    /// Seed for sampling; by default drawn from organisation and request id.
+    /// Seed for sampling; by default derived from organisation and request id.
     pub(crate) seed: Option<u64>,
-    /// Greater goes first, 0 to 9.
+    /// Priority from 0 to 9; greater is served first.
     pub(crate) priority: Option<u8>,
 }
 
-/// One message.
+/// One message of the conversation.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Message {
-    /// Who said it.
+    /// Role of the author.
     pub(crate) role: String,
-    /// What was said.
+    /// Text of the message.
     pub(crate) content: String,
 }
 
 impl ChatRequest {
-    /// The prompt's tokens.
+    /// The tokens of all messages, in order.
     pub(crate) fn prompt(&self) -> Vec<TokenId> {
         let words = |message: &Message| sillbank_model::tokenize(&message.content);
         self.messages.iter().flat_map(words).collect()
@@ -44,9 +44,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum FinishReason {
-    /// The model ended it.
+    /// The model produced its end token.
     Stop,
-    /// It is as long as was asked for.
+    /// The maximum length was reached.
     Length,
 }
 
@@ -84,13 +84,13 @@
     }
 }
 
-/// Writes a chunk as JSON.
+/// Writes a chunk as JSON to the buffer.
 pub(crate) fn write_chunk(buffer: &mut BytesMut, chunk: &Chunk<'_>) {
     serde_json::to_writer(buffer.writer(), chunk).ok();
 }
 
-/// The whole answer as one body.
-pub(crate) fn whole_answer(
+/// The body of an answer that is not streamed.
+pub(crate) fn complete_answer(
     id: &str,
     model: &str,
     text: String,
--- a/crates/sillbank_entry/src/claims.rs
+++ b/crates/sillbank_entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of calls not to be repeated, through the control process of this VM.
+//! Claims for calls that must not run twice, made through the control process of this VM.
 
 use futures_lite::FutureExt;
 use sillbank_core::prelude::*;
@@ -10,52 +10,59 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time a claim may take, and how old a granted one may be when its call is sent: far less than
-/// any holder's memory, so that a pause in between cannot let a call run twice.
+/// Timeout of a claim, and the greatest age of a granted claim when its call is sent. It is far
+/// shorter than the time any holder remembers claims, so that a pause between the grant and the
+/// send cannot let a call run twice.
 pub(crate) const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What control answers.
-enum Answer {
+/// A reply from control.
+enum ControlReply {
     Claim(ClaimAnswer),
     Minted(String),
 }
 
-/// The connection to control, as far as claims need it.
+/// Sends claims to control and matches the replies by id.
 #[derive(Default)]
 pub(crate) struct ControlClaims {
     sender: RefCell<Option<Sender<EntryToControl>>>,
-    waiting: RefCell<HashMap<u64, Sender<Answer>>>,
-    count: Cell<u64>,
+    pending: RefCell<HashMap<u64, Sender<ControlReply>>>,
+    last_id: Cell<u64>,
 }
 
 impl ControlClaims {
-    /// A connection stands.
+    /// Uses a new connection to control.
     pub(crate) fn connect(&self, sender: Sender<EntryToControl>) {
         *self.sender.borrow_mut() = Some(sender);
     }
 
-    /// The connection has gone; who waits gets no answer.
+    /// Handles the loss of the connection: pending requests end without a reply.
     pub(crate) fn disconnect(&self) {
         *self.sender.borrow_mut() = None;
-        self.waiting.borrow_mut().clear();
+        self.pending.borrow_mut().clear();
     }
 
-    /// Claims a key. Answers the claim and when it was asked for.
+    /// Claims a key. Returns the answer and the time at which the request was sent.
     pub(crate) async fn claim(&self, organisation: &str, key: &str) -> (ClaimAnswer, Instant) {
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let message = |id| EntryToControl::Claim {
             id,
             organisation: organisation.to_owned(),
             key: key.to_owned(),
         };
-        match self.ask(message).await {
-            Some(Answer::Claim(answer)) => (answer, asked_at),
-            _ => (ClaimAnswer::Unavailable, asked_at),
+        match self.request(message).await {
+            Some(ControlReply::Claim(answer)) => (answer, requested_at),
+            _ => (ClaimAnswer::Unavailable, requested_at),
         }
     }
 
-    /// Tells what is known of a claimed call.
-    pub(crate) fn ended(&self, organisation: &str, key: &str, claim: u64, run: RunState) {
+    /// Reports to control whether a claimed call has run.
+    pub(crate) fn report_run_state(
+        &self,
+        organisation: &str,
+        key: &str,
+        claim: u64,
+        run: RunState,
+    ) {
         self.send(EntryToControl::ClaimEnded {
             organisation: organisation.to_owned(),
             key: key.to_owned(),
@@ -64,40 +71,40 @@
         });
     }
 
-    /// A new key.
+    /// Asks control for a new key; `None` if control cannot be reached.
     pub(crate) async fn mint(&self) -> Option<String> {
-        match self.ask(|id| EntryToControl::Mint { id }).await {
-            Some(Answer::Minted(key)) => Some(key),
+        match self.request(|id| EntryToControl::Mint { id }).await {
+            Some(ControlReply::Minted(key)) => Some(key),
             _ => None,
         }
     }
 
-    /// A claim was answered.
-    pub(crate) fn on_answer(&self, id: u64, answer: ClaimAnswer) {
-        self.give(id, Answer::Claim(answer));
+    /// Handles the answer to a claim.
+    pub(crate) fn on_claim_answer(&self, id: u64, answer: ClaimAnswer) {
+        self.deliver(id, ControlReply::Claim(answer));
     }
 
-    /// A key was minted.
+    /// Handles a newly minted key.
     pub(crate) fn on_minted(&self, id: u64, key: String) {
-        self.give(id, Answer::Minted(key));
+        self.deliver(id, ControlReply::Minted(key));
     }
 
-    async fn ask(&self, message: impl FnOnce(u64) -> EntryToControl) -> Option<Answer> {
-        let id = self.count.get() + 1;
-        self.count.set(id);
+    async fn request(&self, message: impl FnOnce(u64) -> EntryToControl) -> Option<ControlReply> {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
         let (sender, answer) = smol::channel::bounded(1);
-        self.waiting.borrow_mut().insert(id, sender);
+        self.pending.borrow_mut().insert(id, sender);
         let answer = match self.send(message(id)) {
             true => {
-                let late = async {
+                let timed_out = async {
                     Timer::after(CLAIM_TIMEOUT).await;
                     None
                 };
-                async { answer.recv().await.ok() }.or(late).await
+                async { answer.recv().await.ok() }.or(timed_out).await
             }
             false => None,
         };
-        self.waiting.borrow_mut().remove(&id);
+        self.pending.borrow_mut().remove(&id);
         answer
     }
 
@@ -106,8 +113,8 @@
         sender.as_ref().is_some_and(|sender| sender.try_send(message).is_ok())
     }
 
-    fn give(&self, id: u64, answer: Answer) {
-        if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
+    fn deliver(&self, id: u64, answer: ControlReply) {
+        if let Some(sender) = self.pending.borrow_mut().remove(&id) {
             sender.try_send(answer).ok();
         }
     }
--- a/crates/sillbank_entry/src/control_link.rs
+++ b/crates/sillbank_entry/src/control_link.rs
@@ -1,4 +1,4 @@
-//! Follows the control process of this VM; the last settings stay in force while it is gone.
+//! Connection to the control process of this VM. While it is lost the last settings stay in force.
 
 use crate::engine_link;
 use crate::state::Entry;
@@ -15,39 +15,40 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Pause before control is tried again.
-const RECONNECT: Duration = Duration::from_millis(200);
+/// Pause before a new connection attempt.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Follows the control process of this VM.
+/// Receives settings and claim answers from the control process of this VM.
 pub(crate) struct ControlLinkPlugin;
 
 impl Plugin<Entry> for ControlLinkPlugin {
     fn build(self, app: &App<Entry>) {
-        app.spawn(follow(app.state()));
+        app.spawn(maintain(app.state()));
     }
 }
 
-/// Follows control for ever.
-async fn follow(entry: Rc<Entry>) {
+/// Connects to control again whenever the connection ends.
+async fn maintain(entry: Rc<Entry>) {
     loop {
-        if let Err(error) = follow_once(&entry).await {
-            tracing::debug!("entry: Control has gone: {error}.");
+        if let Err(error) = run_connection(&entry).await {
+            tracing::debug!("entry: The connection to control ended: {error}.");
         }
-        Timer::after(RECONNECT).await;
+        Timer::after(RECONNECT_INTERVAL).await;
     }
 }
 
-async fn follow_once(entry: &Rc<Entry>) -> Result<(), FrameError> {
+/// Runs one connection to control until it ends.
+async fn run_connection(entry: &Rc<Entry>) -> Result<(), FrameError> {
     let stream = TcpStream::connect(entry.settings.control).await?;
     let (reader, mut writer) = (stream.clone(), stream);
     let hello =
         EntryToControl::Hello { vm: entry.settings.vm.clone(), after: entry.in_force.get() };
     write_message(&mut writer, &ToControl::Entry(hello)).await?;
-    let (sender, to_send) = smol::channel::unbounded();
+    let (sender, outgoing) = smol::channel::unbounded();
     entry.claims.connect(sender.clone());
-    let reading = read_all(entry, reader, sender);
-    let writing = write_all(writer, to_send);
-    let ended = futures_lite::future::or(reading, writing).await;
+    let read_task = read_all(entry, reader, sender);
+    let write_task = write_all(writer, outgoing);
+    let ended = futures_lite::future::or(read_task, write_task).await;
     entry.claims.disconnect();
     ended
 }
@@ -59,12 +60,12 @@
 ) -> Result<(), FrameError> {
     loop {
         match read_message(&mut reader).await? {
-            ControlToEntry::Objects(objects) => objects.iter().for_each(|o| take(entry, o)),
+            ControlToEntry::Objects(objects) => objects.iter().for_each(|o| apply_object(entry, o)),
             ControlToEntry::Synced(version) => {
                 set_in_force(entry, version);
                 sender.try_send(EntryToControl::InForce(version)).ok();
             }
-            ControlToEntry::ClaimAnswer { id, answer } => entry.claims.on_answer(id, answer),
+            ControlToEntry::ClaimAnswer { id, answer } => entry.claims.on_claim_answer(id, answer),
             ControlToEntry::Minted { id, key } => entry.claims.on_minted(id, key),
         }
     }
@@ -72,9 +73,9 @@
 
 async fn write_all(
     mut writer: TcpStream,
-    to_send: Receiver<EntryToControl>,
+    outgoing: Receiver<EntryToControl>,
 ) -> Result<(), FrameError> {
-    while let Ok(message) = to_send.recv().await {
+    while let Ok(message) = outgoing.recv().await {
         write_message(&mut writer, &message).await?;
     }
     Ok(())
@@ -88,20 +89,22 @@
     entry.metrics.settings_version.set(entry.in_force.get() as i64);
 }
 
-fn take(entry: &Rc<Entry>, object: &Object) {
+fn apply_object(entry: &Rc<Entry>, object: &Object) {
     let taken =
         entry.tree.borrow_mut().take(&object.key, object.version, object.deleted, &object.value);
     match taken {
-        Taken::InForce => follow_endpoint(entry, &object.key),
+        Taken::InForce => sync_endpoint(entry, &object.key),
         Taken::Old => {}
         Taken::Invalid(problems) => {
-            tracing::warn!("entry: The last good value stays in force: {problems}.");
+            tracing::warn!(
+                "entry: An object is invalid, its last valid value stays in force: {problems}."
+            );
         }
     }
 }
 
-/// Brings the table and the connections in line with an endpoint's object.
-fn follow_endpoint(entry: &Rc<Entry>, key: &str) {
+/// Updates the endpoint table and the connections after a change of an endpoint's object.
+fn sync_endpoint(entry: &Rc<Entry>, key: &str) {
     let Some(id) = key.strip_prefix("endpoint/") else {
         return;
     };
@@ -113,7 +116,7 @@
     };
     let slot = entry.table.borrow_mut().upsert(spec_of(id, &object), now);
     if let Some(slot) = slot {
-        entry.executor.spawn(engine_link::keep(entry.clone(), slot)).detach();
+        entry.executor.spawn(engine_link::maintain(entry.clone(), slot)).detach();
     }
 }
 
--- a/crates/sillbank_entry/src/engine_link.rs
+++ b/crates/sillbank_entry/src/engine_link.rs
@@ -1,4 +1,4 @@
-//! The one streamed exchange with a model engine, shared by all requests of this VM.
+//! Streaming connection to a model engine, shared by all requests of this VM.
 
 use crate::mailbox::Mailbox;
 use crate::state::Entry;
@@ -18,15 +18,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Pause before a lost connection is made again; grows to the second.
-const RECONNECT: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
+/// Minimum and maximum backoff before a connection is opened again.
+const RECONNECT_BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
 
 /// The connection to one endpoint.
 pub(crate) struct EngineLink {
     outbox: Outbox,
     open: Cell<bool>,
     pub(crate) awaited: RefCell<AwaitedSteps<Mailbox>>,
-    pub(crate) heard_at: Cell<Instant>,
+    pub(crate) last_received_at: Cell<Instant>,
 }
 
 impl EngineLink {
@@ -35,35 +35,35 @@
         self.open.get()
     }
 
-    /// Ends the connection after what is on its way.
+    /// Closes the connection after what is already buffered is sent.
     pub(crate) fn close(&self) {
         self.outbox.close();
     }
 
-    /// Sends a step; the reply, or the loss of the endpoint, comes through the mailbox.
+    /// Sends a step; its reply, or the loss of the endpoint, is delivered to the mailbox.
     pub(crate) fn send(&self, stage: StageIndex, step: Step, mailbox: &Mailbox) {
         self.awaited.borrow_mut().on_sent(stage, &step, mailbox.clone(), Instant::now());
         self.write(&EngineRequest::Step(step));
     }
 
-    /// Tells the engine that a request has ended here.
+    /// Tells the engine that this VM has ended the request.
     pub(crate) fn cancel(&self, uid: RequestUid, attempt: Attempt) {
-        self.forget(drive_id(uid, attempt));
+        self.stop_awaiting(drive_id(uid, attempt));
         self.write(&EngineRequest::Cancel { uid, attempt });
     }
 
     /// Stops waiting for a request's reply without telling the engine.
-    pub(crate) fn forget(&self, id: DriveId) {
+    pub(crate) fn stop_awaiting(&self, id: DriveId) {
         self.awaited.borrow_mut().take(id);
     }
 
-    /// Positions of prefills that are not answered.
+    /// Positions of prefill steps that await a reply.
     pub(crate) fn prefill_positions(&self) -> u32 {
         self.awaited.borrow().prefill_positions()
     }
 
-    /// Reports the loss of the endpoint to every request that waits for it.
-    pub(crate) fn lose_all(&self) -> usize {
+    /// Reports the loss of the endpoint to every request that waits for it. Returns their number.
+    pub(crate) fn report_lost(&self) -> usize {
         let lost = self.awaited.borrow_mut().take_all();
         for step in &lost {
             step.waiter.push(Event::StageLost(step.stage));
@@ -80,23 +80,25 @@
     }
 }
 
-/// Keeps a connection to an endpoint until the endpoint is taken out of the settings.
-pub(crate) async fn keep(entry: Rc<Entry>, slot: EndpointSlot) {
+/// Keeps a connection to an endpoint open until the endpoint is removed from the settings.
+pub(crate) async fn maintain(entry: Rc<Entry>, slot: EndpointSlot) {
     let address: SocketAddr = match entry.table.borrow().get(slot).spec.address.parse() {
         Ok(address) => address,
         Err(_) => return,
     };
-    let mut pause = RECONNECT.0;
+    let mut backoff = RECONNECT_BACKOFF.0;
     while entry.table.borrow().get(slot).present {
         match open(&entry, address).await {
             Ok((link, replies)) => {
-                pause = RECONNECT.0;
+                backoff = RECONNECT_BACKOFF.0;
                 run_link(&entry, slot, &link, replies).await;
             }
-            Err(error) => tracing::debug!("entry: Endpoint {address} is not reached: {error}."),
+            Err(error) => {
+                tracing::debug!("entry: The connection to endpoint {address} failed: {error}.")
+            }
         }
-        smol::Timer::after(pause).await;
-        pause = (pause * 2).min(RECONNECT.1);
+        smol::Timer::after(backoff).await;
+        backoff = (backoff * 2).min(RECONNECT_BACKOFF.1);
     }
     entry.links.borrow_mut().remove(&slot);
 }
@@ -121,11 +123,12 @@
         outbox,
         open: Cell::new(true),
         awaited: RefCell::default(),
-        heard_at: Cell::new(Instant::now()),
+        last_received_at: Cell::new(Instant::now()),
     };
     Ok((Rc::new(link), reply.into_body()))
 }
 
+/// Registers a connection and reads replies until it closes.
 async fn run_link(entry: &Rc<Entry>, slot: EndpointSlot, link: &Rc<EngineLink>, replies: Incoming) {
     entry.links.borrow_mut().insert(slot, link.clone());
     entry.table.borrow_mut().get_mut(slot).connected = true;
@@ -140,35 +143,36 @@
         endpoint.health.on_event(now, HealthEvent::Failure);
         endpoint.spec.id.clone()
     };
-    let lost = link.lose_all();
-    tracing::warn!("entry: Endpoint {id} closed its connection with {lost} steps awaited.");
+    let lost = link.report_lost();
+    tracing::warn!("entry: The connection to endpoint {id} closed with {lost} steps unanswered.");
 }
 
+/// Reads newline-delimited replies; ends the connection if a line exceeds [`MAX_LINE_BYTES`].
 async fn read_replies(entry: &Entry, slot: EndpointSlot, link: &EngineLink, mut body: Incoming) {
     let mut buffer = BytesMut::new();
     while let Some(Ok(frame)) = body.frame().await {
         let now = Instant::now();
-        link.heard_at.set(now);
+        link.last_received_at.set(now);
         if let Some(data) = frame.data_ref() {
             buffer.extend_from_slice(data);
         }
-        let mut at = 0;
-        while let Some(length) = buffer[at..].iter().position(|byte| *byte == b'\n') {
-            take_reply(entry, slot, link, &buffer[at..at + length], now);
-            at += length + 1;
+        let mut line_start = 0;
+        while let Some(length) = buffer[line_start..].iter().position(|byte| *byte == b'\n') {
+            handle_reply(entry, slot, link, &buffer[line_start..line_start + length], now);
+            line_start += length + 1;
         }
-        drop(buffer.split_to(at));
+        drop(buffer.split_to(line_start));
         if buffer.len() > MAX_LINE_BYTES {
             return;
         }
     }
 }
 
-fn take_reply(entry: &Entry, slot: EndpointSlot, link: &EngineLink, line: &[u8], now: Instant) {
+fn handle_reply(entry: &Entry, slot: EndpointSlot, link: &EngineLink, line: &[u8], now: Instant) {
     let reply: StepReply = match serde_json::from_slice(line) {
         Ok(reply) => reply,
         Err(error) => {
-            tracing::warn!("entry: A reply was not read: {error}.");
+            tracing::warn!("entry: A reply could not be parsed: {error}.");
             return;
         }
     };
@@ -183,15 +187,16 @@
         );
         return;
     };
-    note_load(entry, slot, link, &reply, &awaited, now);
+    record_load(entry, slot, link, &reply, &awaited, now);
     if let StepOutcome::Refused(Refusal::WrongLayers | Refusal::Leaving) = reply.outcome {
-        // Its own word: it gets no new work until a probe says otherwise.
+        // The endpoint itself reports this: it gets no new work until a probe succeeds.
         entry.table.borrow_mut().get_mut(slot).health.on_event(now, HealthEvent::Failure);
     }
     awaited.waiter.push(Event::Reply(awaited.stage, reply));
 }
 
-fn note_load(
+/// Records the load that a reply reports.
+fn record_load(
     entry: &Entry,
     slot: EndpointSlot,
     link: &EngineLink,
--- a/crates/sillbank_entry/src/drive.rs
+++ b/crates/sillbank_entry/src/execution.rs
@@ -1,4 +1,4 @@
-//! Carries out what a [`Generation`] decides.
+//! Runs one [`Generation`]: feeds it events and performs its actions.
 
 use crate::in_flight::Progress;
 use crate::mailbox::{Mail, Mailbox};
@@ -14,13 +14,13 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// Pause between looks for a replacement when none is to be had.
-const REPLACE_PAUSE: Duration = Duration::from_millis(25);
-/// How long a stage may stay without an endpoint before the request is given up.
-const REPLACE_PATIENCE: Duration = Duration::from_secs(2);
+/// Pause between searches for a replacement endpoint when none is available.
+const REPLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(25);
+/// A request fails if a stage has no endpoint for this long.
+const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a generation is driven with.
-pub(crate) struct DriveRequest {
+/// Input for executing a generation.
+pub(crate) struct ExecutionRequest {
     pub(crate) plan: Plan,
     pub(crate) chain: Vec<ChainLink>,
     pub(crate) pipeline: PipelineId,
@@ -29,70 +29,76 @@
     pub(crate) mailbox: Mailbox,
 }
 
-/// One generation with its endpoints. Dropping it counts it out of them.
-pub(crate) struct Drive {
+/// One generation and the endpoints of its stages. Dropping it releases the endpoints.
+pub(crate) struct Execution {
     entry: Rc<Entry>,
     generation: Generation,
     uid: RequestUid,
     pipeline: PipelineId,
     kv_tokens: u32,
     stages: Vec<ChainLink>,
-    missing: Vec<(StageIndex, Instant)>,
+    without_endpoint: Vec<(StageIndex, Instant)>,
     mailbox: Mailbox,
     progress: Rc<Progress>,
     sink: Sink,
-    started: Instant,
-    last_token: Option<Instant>,
+    started_at: Instant,
+    last_token_at: Option<Instant>,
     stage_times: Vec<StageTime>,
 }
 
-/// Time one stage took, for its span.
+/// Steps and time of one stage, for the logging span.
 #[derive(Default, Clone)]
 struct StageTime {
     steps: u32,
-    sum: Duration,
-    sent: Option<Instant>,
+    total: Duration,
+    sent_at: Option<Instant>,
 }
 
-enum Woken {
+/// Why the task of a generation was woken.
+enum WakeReason {
     Mail(Mail),
     Deadline,
-    CallerGone,
-    LookAgain,
+    CallerDisconnected,
+    RetryReplacement,
 }
 
-/// Drives a generation to its end.
-pub(crate) async fn drive(
+/// Runs a generation until it ends.
+pub(crate) async fn execute(
     entry: Rc<Entry>,
-    request: DriveRequest,
+    request: ExecutionRequest,
     progress: Rc<Progress>,
     sink: Sink,
 ) {
     let deadline = request.deadline;
-    let mut drive = Drive::new(entry, request, progress, sink);
-    drive.take(Event::Start);
+    let mut execution = Execution::new(entry, request, progress, sink);
+    execution.handle(Event::Start);
     let mut timer = Timer::at(deadline);
-    while !drive.generation.is_over() {
-        if !drive.caller_keeps_up().await {
-            drive.take(Event::Cancel);
+    while !execution.generation.is_over() {
+        if !execution.caller_keeps_up().await {
+            execution.handle(Event::Cancel);
             break;
         }
-        match drive.next_wake(&mut timer).await {
-            Woken::Mail(Mail::Event(event)) => drive.take(event),
-            Woken::Mail(Mail::HandOver) => {
-                drive.hand_over();
+        match execution.next_wake(&mut timer).await {
+            WakeReason::Mail(Mail::Event(event)) => execution.handle(event),
+            WakeReason::Mail(Mail::HandOver) => {
+                execution.hand_over();
                 return;
             }
-            Woken::Deadline => drive.take(Event::Deadline),
-            Woken::CallerGone => drive.take(Event::Cancel),
-            Woken::LookAgain => drive.look_again(),
+            WakeReason::Deadline => execution.handle(Event::Deadline),
+            WakeReason::CallerDisconnected => execution.handle(Event::Cancel),
+            WakeReason::RetryReplacement => execution.find_replacements(),
         }
     }
-    drive.report();
+    execution.report();
 }
 
-impl Drive {
-    fn new(entry: Rc<Entry>, request: DriveRequest, progress: Rc<Progress>, sink: Sink) -> Self {
+impl Execution {
+    fn new(
+        entry: Rc<Entry>,
+        request: ExecutionRequest,
+        progress: Rc<Progress>,
+        sink: Sink,
+    ) -> Self {
         Self {
             uid: request.plan.uid,
             generation: Generation::new(request.plan),
@@ -100,47 +106,48 @@
             pipeline: request.pipeline,
             kv_tokens: request.kv_tokens,
             stages: request.chain,
-            missing: Vec::new(),
+            without_endpoint: Vec::new(),
             mailbox: request.mailbox,
             progress,
             sink,
-            started: Instant::now(),
-            last_token: None,
+            started_at: Instant::now(),
+            last_token_at: None,
             entry,
         }
     }
 
-    /// Which try at the request this is.
+    /// Identifies this execution among those of the same request.
     fn id(&self) -> DriveId {
         drive_id(self.uid, self.generation.attempt())
     }
 
-    fn take(&mut self, event: Event) {
+    /// Passes an event to the generation and performs the resulting actions.
+    fn handle(&mut self, event: Event) {
         if let Event::Reply(stage, _) = &event {
             let time = &mut self.stage_times[*stage];
-            time.sum += time.sent.take().map_or(Duration::ZERO, |sent| sent.elapsed());
+            time.total += time.sent_at.take().map_or(Duration::ZERO, |sent_at| sent_at.elapsed());
         }
         let mut actions = Vec::with_capacity(4);
         self.generation.on_event(event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.perform(action);
         }
         let tokens = self.generation.answer().len() as u32;
-        self.progress.on_event(self.generation.state(), tokens);
+        self.progress.record_state(self.generation.state(), tokens);
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send(stage, step) => {
                 let time = &mut self.stage_times[stage];
                 time.steps += 1;
-                time.sent = Some(Instant::now());
+                time.sent_at = Some(Instant::now());
                 self.entry.metrics.steps.inc();
-                self.progress.on_sent(stage, self.stages[stage].endpoint, &step);
+                self.progress.record_step(stage, self.stages[stage].endpoint, &step);
                 match self.entry.link(self.stages[stage].endpoint) {
                     Some(link) => {
                         link.send(stage, step, &self.mailbox);
-                        self.entry.note_prefill(self.stages[stage].endpoint, &link);
+                        self.entry.update_prefill(self.stages[stage].endpoint, &link);
                     }
                     None => self.mailbox.push(Event::StageLost(stage)),
                 }
@@ -148,10 +155,10 @@
             Action::Emit(number, token) => self.emit(number, token),
             Action::Replace(stage) => {
                 if let Some(link) = self.entry.link(self.stages[stage].endpoint) {
-                    link.forget(self.id());
+                    link.stop_awaiting(self.id());
                 }
-                self.missing.push((stage, Instant::now()));
-                self.look_again();
+                self.without_endpoint.push((stage, Instant::now()));
+                self.find_replacements();
             }
             Action::Release(stage) => {
                 if let Some(link) = self.entry.link(self.stages[stage].endpoint) {
@@ -165,9 +172,9 @@
 
     fn emit(&mut self, number: u32, token: TokenId) {
         let now = Instant::now();
-        match self.last_token.replace(now) {
+        match self.last_token_at.replace(now) {
             None => {
-                let first = now.duration_since(self.started).as_secs_f64();
+                let first = now.duration_since(self.started_at).as_secs_f64();
                 self.entry.metrics.first_token_seconds.observe(first);
             }
             Some(last) => {
@@ -186,31 +193,31 @@
         }
     }
 
-    /// Looks for endpoints for the stages that have none.
-    fn look_again(&mut self) {
-        for (stage, since) in std::mem::take(&mut self.missing) {
-            match self.replacement(stage) {
+    /// Searches for endpoints for the stages that have none.
+    fn find_replacements(&mut self) {
+        for (stage, since) in std::mem::take(&mut self.without_endpoint) {
+            match self.reserve_replacement(stage) {
                 Some(endpoint) => {
-                    self.entry.leave_endpoint(self.stages[stage].endpoint);
+                    self.entry.release_endpoint(self.stages[stage].endpoint);
                     self.stages[stage].endpoint = endpoint;
                     self.mailbox.push(Event::Replaced(stage));
                 }
-                None if since.elapsed() > REPLACE_PATIENCE => {
+                None if since.elapsed() > REPLACEMENT_TIMEOUT => {
                     self.mailbox.push(Event::NoReplacement);
                 }
-                None => self.missing.push((stage, since)),
+                None => self.without_endpoint.push((stage, since)),
             }
         }
     }
 
-    /// Another endpoint for a stage; the old one only if there is no other.
-    fn replacement(&self, stage: StageIndex) -> Option<EndpointSlot> {
+    /// Reserves another endpoint for a stage; the old one only if there is no other.
+    fn reserve_replacement(&self, stage: StageIndex) -> Option<EndpointSlot> {
         let old = self.stages[stage].endpoint;
-        self.usable_endpoint(stage).or_else(|| self.entry.take_leaving_endpoint(old))
+        self.reserve_usable_endpoint(stage).or_else(|| self.entry.reserve_leaving_endpoint(old))
     }
 
-    /// An endpoint for a stage that may be given new work.
-    fn usable_endpoint(&self, stage: StageIndex) -> Option<EndpointSlot> {
+    /// Reserves an endpoint that accepts new work for a stage, preferably not the old one.
+    fn reserve_usable_endpoint(&self, stage: StageIndex) -> Option<EndpointSlot> {
         let old = self.stages[stage];
         let others = [Some(old.endpoint), None];
         others.into_iter().find_map(|except| {
@@ -222,73 +229,75 @@
                 tokens: self.generation.tokens_left(),
                 except,
             };
-            let chain = self.entry.take_chain(&request)?;
+            let chain = self.entry.reserve_chain(&request)?;
             match chain[..] {
                 [link] if self.entry.link(link.endpoint).is_some() => Some(link.endpoint),
                 _ => {
-                    chain.iter().for_each(|link| self.entry.leave_endpoint(link.endpoint));
+                    chain.iter().for_each(|link| self.entry.release_endpoint(link.endpoint));
                     None
                 }
             }
         })
     }
 
-    /// Waits while the caller's buffer is full. Answers false if the caller stalls.
+    /// Waits while the caller's buffer is full. Returns false if the caller stalls.
     async fn caller_keeps_up(&self) -> bool {
         let limit = self.entry.settings.stream_buffer_bytes;
-        if self.sink.waiting_bytes() <= limit {
+        if self.sink.buffered_bytes() <= limit {
             return true;
         }
-        let stall = self.entry.settings.caller_stall;
+        let stall_timeout = self.entry.settings.caller_stall;
         let drained = async {
             self.sink.drained_to(limit / 2).await;
             true
         };
-        let late = async {
-            Timer::after(stall).await;
+        let timed_out = async {
+            Timer::after(stall_timeout).await;
             false
         };
-        let in_time = futures_lite::future::or(drained, late).await;
+        let in_time = futures_lite::future::or(drained, timed_out).await;
         if !in_time {
             self.entry.metrics.stalled_callers.inc();
-            tracing::info!("entry: The caller of {} stopped reading.", self.uid);
+            tracing::info!("entry: The caller of request {} stopped reading.", self.uid);
         }
         in_time
     }
 
-    async fn next_wake(&self, deadline: &mut Timer) -> Woken {
-        let mut look_again = (!self.missing.is_empty()).then(|| Timer::after(REPLACE_PAUSE));
+    async fn next_wake(&self, deadline: &mut Timer) -> WakeReason {
+        let mut retry_timer =
+            (!self.without_endpoint.is_empty()).then(|| Timer::after(REPLACEMENT_RETRY_INTERVAL));
         std::future::poll_fn(|context| {
             if let Poll::Ready(mail) = self.mailbox.poll_next(context) {
-                return Poll::Ready(Woken::Mail(mail));
+                return Poll::Ready(WakeReason::Mail(mail));
             }
-            if self.sink.poll_gone(context).is_ready() {
-                return Poll::Ready(Woken::CallerGone);
+            if self.sink.poll_disconnected(context).is_ready() {
+                return Poll::Ready(WakeReason::CallerDisconnected);
             }
             if Pin::new(&mut *deadline).poll(context).is_ready() {
-                return Poll::Ready(Woken::Deadline);
+                return Poll::Ready(WakeReason::Deadline);
             }
-            if let Some(timer) = &mut look_again
+            if let Some(timer) = &mut retry_timer
                 && Pin::new(timer).poll(context).is_ready()
             {
-                return Poll::Ready(Woken::LookAgain);
+                return Poll::Ready(WakeReason::RetryReplacement);
             }
             Poll::Pending
         })
         .await
     }
 
-    /// Tells the caller where to go on; the engines keep what they hold for the next VM.
+    /// Tells the caller to resume at another VM. The engines keep the request's state for that VM.
     fn hand_over(&mut self) {
         self.sink.hand_over(self.generation.run_state());
         for stage in &self.stages {
             if let Some(link) = self.entry.link(stage.endpoint) {
-                link.forget(self.id());
+                link.stop_awaiting(self.id());
             }
         }
         self.report();
     }
 
+    /// Records metrics and logs the time of each stage.
     fn report(&self) {
         let tally = self.generation.tally();
         let metrics = &self.entry.metrics;
@@ -299,16 +308,16 @@
             tracing::debug!(
                 parent: self.sink.span(),
                 "entry: Stage {}..{} took {} steps and {} us at slot {}.",
-                link.layers.first, link.layers.end, time.steps, time.sum.as_micros(), link.endpoint,
+                link.layers.first, link.layers.end, time.steps, time.total.as_micros(), link.endpoint,
             );
         }
     }
 }
 
-impl Drop for Drive {
+impl Drop for Execution {
     fn drop(&mut self) {
         for stage in &self.stages {
-            self.entry.leave_endpoint(stage.endpoint);
+            self.entry.release_endpoint(stage.endpoint);
         }
     }
 }
--- a/crates/sillbank_entry/src/in_flight.rs
+++ b/crates/sillbank_entry/src/in_flight.rs
@@ -1,8 +1,8 @@
-//! Which generations this VM drives, and what each of them waits for.
+//! Generations in flight at this VM, and what each of them waits for.
 //!
-//! A generation that is late is found here by its request id: the step it waits for, at which
-//! endpoint, since when, and whether the connection to that endpoint still expects the answer. A
-//! generation that waits for an answer which no connection expects can only end by its deadline.
+//! The status page shows for each request id the step it waits for, at which endpoint, since when,
+//! and whether the connection to that endpoint still expects the reply. A generation that waits for
+//! a reply which no connection expects is stuck: only its deadline can end it.
 
 use crate::mailbox::Mailbox;
 use crate::state::Entry;
@@ -16,13 +16,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Generations that a status lists at most: enough to see what the oldest wait for, and some
-/// 20 KB of text.
-const MAX_LISTED: usize = 100;
+/// Most generations listed in a status, oldest first: about 20 KB of text, and enough to see what
+/// the oldest ones wait for.
+const MAX_LISTED_GENERATIONS: usize = 100;
 
-/// A step that was sent and not answered, as its generation sees it.
+/// The last step that a generation sent.
 #[derive(Clone, Copy)]
-struct SentStep {
+struct LastStep {
     stage: StageIndex,
     endpoint: EndpointSlot,
     attempt: Attempt,
@@ -30,29 +30,29 @@
     sent_at: Instant,
 }
 
-/// Where one generation stands.
+/// Progress of one generation, for the status.
 pub(crate) struct Progress {
     request_id: String,
-    began: Instant,
+    started_at: Instant,
     state: Cell<State>,
     tokens: Cell<u32>,
-    sent: Cell<Option<SentStep>>,
+    sent: Cell<Option<LastStep>>,
 }
 
 impl Progress {
     pub(crate) fn new(request_id: String) -> Rc<Self> {
         Rc::new(Self {
             request_id,
-            began: Instant::now(),
+            started_at: Instant::now(),
             state: Cell::new(State::Running),
             tokens: Cell::new(0),
             sent: Cell::new(None),
         })
     }
 
-    /// Notes a step that is sent.
-    pub(crate) fn on_sent(&self, stage: StageIndex, endpoint: EndpointSlot, step: &Step) {
-        self.sent.set(Some(SentStep {
+    /// Records a step that is sent.
+    pub(crate) fn record_step(&self, stage: StageIndex, endpoint: EndpointSlot, step: &Step) {
+        self.sent.set(Some(LastStep {
             stage,
             endpoint,
             attempt: step.attempt,
@@ -61,15 +61,15 @@
         }));
     }
 
-    /// Notes the state and the length of the answer after an event.
-    pub(crate) fn on_event(&self, state: State, tokens: u32) {
+    /// Records the state and the length of the answer, in tokens, after an event.
+    pub(crate) fn record_state(&self, state: State, tokens: u32) {
         self.state.set(state);
         self.tokens.set(tokens);
     }
 }
 
 /// One generation in flight.
-struct InFlight {
+struct InFlightGeneration {
     mailbox: Mailbox,
     progress: Rc<Progress>,
 }
@@ -77,45 +77,45 @@
 /// All generations of this VM that have not ended.
 #[derive(Default)]
 pub(crate) struct Generations {
-    all: RefCell<HashMap<DriveId, InFlight>>,
+    all: RefCell<HashMap<DriveId, InFlightGeneration>>,
 }
 
 impl Generations {
-    /// Notes a generation in flight.
+    /// Adds a generation in flight.
     pub(crate) fn register(&self, id: DriveId, mailbox: Mailbox, progress: Rc<Progress>) {
-        self.all.borrow_mut().insert(id, InFlight { mailbox, progress });
+        self.all.borrow_mut().insert(id, InFlightGeneration { mailbox, progress });
     }
 
-    /// Notes that a generation has ended.
+    /// Removes a generation that has ended.
     pub(crate) fn unregister(&self, id: DriveId) {
         self.all.borrow_mut().remove(&id);
     }
 
-    /// Whether none is in flight.
+    /// Whether no generation is in flight.
     pub(crate) fn is_empty(&self) -> bool {
         self.all.borrow().is_empty()
     }
 
-    /// Asks all to hand over.
+    /// Asks all generations to hand over.
     pub(crate) fn hand_over(&self) {
         for generation in self.all.borrow().values() {
             generation.mailbox.hand_over();
         }
     }
 
-    /// The oldest of them and what they wait for, for `/v1/status`.
+    /// The oldest generations and what they wait for, for `/v1/status`.
     pub(crate) fn status(&self, entry: &Entry) -> Vec<serde_json::Value> {
         let all = self.all.borrow();
-        let mut oldest: Vec<(&DriveId, &InFlight)> = all.iter().collect();
-        oldest.sort_by_key(|(_, generation)| generation.progress.began);
-        let listed = oldest.into_iter().take(MAX_LISTED);
+        let mut oldest: Vec<(&DriveId, &InFlightGeneration)> = all.iter().collect();
+        oldest.sort_by_key(|(_, generation)| generation.progress.started_at);
+        let listed = oldest.into_iter().take(MAX_LISTED_GENERATIONS);
         listed.map(|(id, generation)| status_of(entry, *id, &generation.progress)).collect()
     }
 }
 
 fn status_of(entry: &Entry, id: DriveId, progress: &Progress) -> serde_json::Value {
     let state = progress.state.get();
-    // A generation whose stage is being replaced waits for no answer.
+    // A generation whose stage is being replaced waits for no reply.
     let sent = progress.sent.get().filter(|_| state == State::Running);
     let waits_for = sent.map(|sent| {
         let link = entry.link(sent.endpoint);
@@ -133,7 +133,7 @@
         "request": progress.request_id,
         "state": state.name(),
         "tokens": progress.tokens.get(),
-        "age_ms": progress.began.elapsed().as_millis() as u64,
+        "age_ms": progress.started_at.elapsed().as_millis() as u64,
         "waits_for": waits_for,
     })
 }
--- a/crates/sillbank_entry/src/mailbox.rs
+++ b/crates/sillbank_entry/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! Where one generation waits for its events.
+//! Event queue of one generation.
 
 use sillbank_generation::Event;
 use std::cell::RefCell;
@@ -13,22 +13,22 @@
     waker: Option<Waker>,
 }
 
-/// A queue of events on one thread. Clones share it.
+/// A single-threaded queue of events. Clones share the queue.
 #[derive(Clone, Default)]
 pub(crate) struct Mailbox {
     state: Rc<RefCell<MailboxState>>,
 }
 
-/// What a generation is woken with.
+/// A message to a generation.
 pub(crate) enum Mail {
-    /// Something happened to it.
+    /// An event for the generation's state machine.
     Event(Event),
-    /// The VM stops: the caller is told where to go on.
+    /// The VM is stopping: the caller must resume at another VM.
     HandOver,
 }
 
 impl Mailbox {
-    /// Adds an event and wakes who waits.
+    /// Adds an event and wakes the waiting task.
     pub(crate) fn push(&self, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The next event, if there is one.
+    /// Polls for the next message. Events come before a hand-over.
     pub(crate) fn poll_next(&self, context: &mut Context<'_>) -> Poll<Mail> {
         let mut state = self.state.borrow_mut();
         if let Some(event) = state.events.pop_front() {
--- a/crates/sillbank_entry/src/main.rs
+++ b/crates/sillbank_entry/src/main.rs
@@ -1,5 +1,5 @@
-//! `sillbank-entry`: takes callers' requests, drives them through the endpoints' stages and
-//! streams the answers back.
+//! `sillbank-entry`: accepts callers' requests, runs them through the pipeline stages at the
+//! endpoints and streams the answers back.
 
 #![forbid(unsafe_code)]
 
@@ -8,12 +8,12 @@
 mod chat;
 mod claims;
 mod control_link;
-mod drive;
 mod engine_link;
+mod execution;
 mod in_flight;
 mod mailbox;
 mod metrics;
-mod reading;
+mod request_input;
 mod resume;
 mod services;
 mod sink;
@@ -70,7 +70,7 @@
         max_head_bytes: settings.max_head_bytes,
         ..ServerLimits::default()
     };
-    tracing::info!("entry: VM {} in hall {} is up.", settings.vm, settings.hall);
+    tracing::info!("entry: VM {} in hall {} has started.", settings.vm, settings.hall);
     let entry = state::Entry::new(executor.clone(), settings);
     let _app = App::new(executor, entry.clone())
         .add_plugin(control_link::ControlLinkPlugin)
--- a/crates/sillbank_entry/src/metrics.rs
+++ b/crates/sillbank_entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What this process counts. Names and units stand in docs/operators/metrics.md.
+//! Metrics of the entry process. docs/operators/metrics.md lists names and units.
 
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -9,21 +9,21 @@
 use sillbank_core::prelude::*;
 use sillbank_generation::State;
 
-/// How an answer ended.
+/// Labels of an answer: how it ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub(crate) struct EndLabels {
-    end: End,
+pub(crate) struct AnswerLabels {
+    end: AnswerEnd,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelValue)]
-enum End {
+enum AnswerEnd {
     Whole,
     Failed,
     Cancelled,
     HandedOver,
 }
 
-/// Code of a failure, and what it said of the work.
+/// Labels of a failure: its code, and whether the work was run.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct FailureLabels {
     code: String,
@@ -33,7 +33,7 @@
 /// All metrics of an entry process.
 pub(crate) struct Metrics {
     pub(crate) registry: Registry,
-    pub(crate) answers: Family<EndLabels, Counter>,
+    pub(crate) answers: Family<AnswerLabels, Counter>,
     pub(crate) failures: Family<FailureLabels, Counter>,
     pub(crate) in_flight: Gauge,
     pub(crate) tokens: Counter,
@@ -51,7 +51,7 @@
 
 impl Metrics {
     pub(crate) fn new() -> Self {
-        let times = || Histogram::new(exponential_buckets(0.001, 2.0, 16));
+        let latency_histogram = || Histogram::new(exponential_buckets(0.001, 2.0, 16));
         let metrics = Self {
             registry: sillbank_net::telemetry::new_registry("entry"),
             answers: Family::default(),
@@ -65,25 +65,25 @@
             silent_endpoints: Counter::default(),
             stalled_callers: Counter::default(),
             settings_version: Gauge::default(),
-            first_token_seconds: times(),
-            token_gap_seconds: times(),
-            step_seconds: times(),
+            first_token_seconds: latency_histogram(),
+            token_gap_seconds: latency_histogram(),
+            step_seconds: latency_histogram(),
         };
         metrics.registered()
     }
 
-    /// Counts the end of an answer.
+    /// Counts an answer by how it ended.
     pub(crate) fn count_answer(&self, state: State) {
         let end = match state {
-            State::Finished => End::Whole,
-            State::Failed => End::Failed,
-            State::Cancelled => End::Cancelled,
-            State::Running | State::Recovering => End::HandedOver,
+            State::Finished => AnswerEnd::Whole,
+            State::Failed => AnswerEnd::Failed,
+            State::Cancelled => AnswerEnd::Cancelled,
+            State::Running | State::Recovering => AnswerEnd::HandedOver,
         };
-        self.answers.get_or_create(&EndLabels { end }).inc();
+        self.answers.get_or_create(&AnswerLabels { end }).inc();
     }
 
-    /// Counts a failure given to a caller.
+    /// Counts a failure returned to a caller.
     pub(crate) fn count_failure(&self, failure: &Failure) {
         let labels = FailureLabels {
             code: failure.kind.code().to_owned(),
--- a/crates/sillbank_entry/src/reading.rs
+++ b/crates/sillbank_entry/src/request_input.rs
@@ -1,4 +1,4 @@
-//! Reads what callers send, within limits.
+//! Reads and checks callers' input: body, key, headers.
 
 use crate::state::Entry;
 use bytes::Bytes;
@@ -10,10 +10,10 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// Longest accepted request id.
+/// Maximum length of a request id.
 const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// Reads a whole body.
+/// Reads a complete body, within the limits on size and time.
 pub(crate) async fn read_body(entry: &Entry, body: Incoming) -> Result<Bytes, Failure> {
     let limit = entry.settings.max_body_bytes;
     let too_large = || {
@@ -23,7 +23,7 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(too_large());
     }
-    let whole = async {
+    let complete = async {
         match Limited::new(body, limit).collect().await {
             Ok(collected) => Ok(collected.to_bytes()),
             Err(error) if error.is::<LengthLimitError>() => Err(too_large()),
@@ -33,16 +33,16 @@
             }
         }
     };
-    let late = async {
+    let timed_out = async {
         let timeout = entry.settings.body_timeout;
         Timer::after(timeout).await;
         let reason = format!("The body was not whole after {} ms.", timeout.as_millis());
         Err(Failure::before_work(FailureKind::RequestTimeout, reason))
     };
-    futures_lite::future::or(whole, late).await
+    futures_lite::future::or(complete, timed_out).await
 }
 
-/// Finds the organisation of the bearer key. An unknown key learns nothing more.
+/// The organisation of the bearer key. The failure for an unknown key reveals nothing else.
 pub(crate) fn authenticate(entry: &Entry, headers: &HeaderMap) -> Result<OrganisationId, Failure> {
     let unknown = || Failure::before_work(FailureKind::UnknownKey, "The key is not known.");
     let value = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
@@ -51,7 +51,7 @@
     tree.organisation_of_key(&hash_key(key)).map(str::to_owned).ok_or_else(unknown)
 }
 
-/// The caller's request id, or a drawn one.
+/// The caller's request id, or a random one.
 pub(crate) fn request_id(entry: &Entry, headers: &HeaderMap) -> Result<String, Failure> {
     let Some(value) = headers.get("x-request-id") else {
         return Ok(format!("{:032x}", entry.rng.borrow_mut().u128(..)));
@@ -66,7 +66,7 @@
     }
 }
 
-/// A header that holds a whole number.
+/// Reads a header that holds an unsigned integer.
 pub(crate) fn number_header(headers: &HeaderMap, name: &str) -> Result<Option<u64>, Failure> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
@@ -78,8 +78,8 @@
     })
 }
 
-/// The caller's deadline, or the policy's.
-pub(crate) fn deadline(headers: &HeaderMap, policy_ms: u64) -> Result<Duration, Failure> {
-    let asked = number_header(headers, "x-deadline-ms")?;
-    Ok(Duration::from_millis(asked.map_or(policy_ms, |asked| asked.min(policy_ms))))
+/// Time for the request: the caller's `x-deadline-ms`, at most the policy's deadline.
+pub(crate) fn request_timeout(headers: &HeaderMap, policy_ms: u64) -> Result<Duration, Failure> {
+    let requested = number_header(headers, "x-deadline-ms")?;
+    Ok(Duration::from_millis(requested.map_or(policy_ms, |ms| ms.min(policy_ms))))
 }
--- a/crates/sillbank_entry/src/services.rs
+++ b/crates/sillbank_entry/src/services.rs
@@ -1,8 +1,8 @@
-//! Calls to plain services.
+//! Forwards calls to plain services.
 
-use crate::callers::{Admitted, CallerContext, Forecast};
+use crate::callers::{AdmissionGuard, CallerContext, Forecast};
 use crate::claims::CLAIM_TIMEOUT;
-use crate::reading::deadline;
+use crate::request_input::request_timeout;
 use crate::state::Entry;
 use bytes::Bytes;
 use hyper::header::HeaderValue;
@@ -18,58 +18,61 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// When to come back after a failure that may pass.
-const COME_BACK: Duration = Duration::from_secs(1);
-/// Header in which a service says that it ran nothing.
+/// Retry-after time of transient failures.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Header by which a service states that it did not run the call.
 const RUN_STATE_HEADER: &str = "x-run-state";
 
-/// Passes a call on to a service and its answer back.
+/// Forwards a call to a service and returns its reply.
 pub(crate) async fn call(
     entry: &Rc<Entry>,
     context: CallerContext,
     path: &str,
     body: Bytes,
 ) -> Result<Response<ReplyBody>, Failure> {
-    let rest = path.trim_start_matches("/v1/services/");
-    let (name, inner) = rest.split_once('/').unwrap_or((rest, ""));
-    let (service, policy) = find(entry, &context, name)?;
-    let time = deadline(&context.headers, policy.deadline_ms)?;
+    let target = path.trim_start_matches("/v1/services/");
+    let (name, inner) = target.split_once('/').unwrap_or((target, ""));
+    let (service, policy) = find_service(entry, &context, name)?;
+    let time_limit = request_timeout(&context.headers, policy.deadline_ms)?;
     let organisation = &context.organisation;
-    let forecast = Forecast { predicted: None, backlog: 0.0, deadline: time };
-    let _admitted = Admitted::new(entry, organisation, 0, policy.queue_tokens, forecast)?;
+    let forecast = Forecast { predicted: None, backlog: 0.0, deadline: time_limit };
+    let _admitted = AdmissionGuard::new(entry, organisation, 0, policy.queue_tokens, forecast)?;
     let _in_flight = entry.stop.count_call();
-    let deadline = context.arrived + time;
-    let marked = context.headers.get("x-not-repeatable").is_some_and(|v| v == "true");
+    let deadline = context.received_at + time_limit;
+    let marked_non_repeatable =
+        context.headers.get("x-not-repeatable").is_some_and(|v| v == "true");
     let call = ServiceCall {
-        repeatable: service.repeatable && !marked,
-        addresses: shuffled(entry, &service),
+        is_idempotent: service.repeatable && !marked_non_repeatable,
+        addresses: shuffled_addresses(entry, &service),
         inner: format!("/{inner}"),
         body,
         deadline,
-        max_tries: policy.max_losses as usize + 1,
+        max_attempts: policy.max_losses as usize + 1,
     };
     let span = context.trace.span(&context.request_id, &context.organisation);
     let started = Instant::now();
-    // A call with no id of the caller's own cannot come a second time.
-    let own_id = context.headers.contains_key("x-request-id");
-    let answer = match call.repeatable || !own_id {
+    // Without an id from the caller the call cannot be recognised as a repeat, so there is nothing to claim.
+    let has_caller_id = context.headers.contains_key("x-request-id");
+    let answer = match call.is_idempotent || !has_caller_id {
         true => send(entry, &context, &call, &mut RunLog::default()).await,
-        false => send_once(entry, &context, &call).await,
+        false => send_claimed(entry, &context, &call).await,
     };
     tracing::debug!(parent: &span, "entry: Service {name} took {} us.", started.elapsed().as_micros());
     answer
 }
 
+/// A call as it is sent to a service.
 struct ServiceCall {
-    repeatable: bool,
+    is_idempotent: bool,
     addresses: Vec<SocketAddr>,
     inner: String,
     body: Bytes,
     deadline: Instant,
-    max_tries: usize,
+    max_attempts: usize,
 }
 
-fn find(
+/// The service and its policy, if the organisation may call it.
+fn find_service(
     entry: &Entry,
     context: &CallerContext,
     name: &str,
@@ -83,33 +86,35 @@
     Ok((service.clone(), tree.effective(&format!("service/{name}")).policy))
 }
 
-fn shuffled(entry: &Entry, service: &ServiceObject) -> Vec<SocketAddr> {
+/// The service's addresses in random order.
+fn shuffled_addresses(entry: &Entry, service: &ServiceObject) -> Vec<SocketAddr> {
     let mut addresses: Vec<SocketAddr> =
         service.addresses.iter().filter_map(|address| address.parse().ok()).collect();
     entry.rng.borrow_mut().shuffle(&mut addresses);
     addresses
 }
 
-/// Sends a call whose key is claimed first; a call that was not run frees its key.
-async fn send_once(
+/// Claims the call's key, sends the call and reports how it ended; a call that was not run frees its key.
+async fn send_claimed(
     entry: &Entry,
     context: &CallerContext,
     call: &ServiceCall,
 ) -> Result<Response<ReplyBody>, Failure> {
     let (organisation, key) = (&context.organisation, &context.request_id);
-    let (answer, asked_at) = entry.claims.claim(organisation, key).await;
-    let claim = granted(answer)?;
+    let (answer, requested_at) = entry.claims.claim(organisation, key).await;
+    let claim = granted_claim(answer)?;
     let mut log = RunLog::default();
-    let answer = match asked_at.elapsed() < CLAIM_TIMEOUT {
+    let answer = match requested_at.elapsed() < CLAIM_TIMEOUT {
         true => send(entry, context, call, &mut log).await,
         false => Err(Failure::before_work(FailureKind::ServiceLost, "The claim came too late.")
-            .retry_after(COME_BACK)),
+            .retry_after(RETRY_AFTER)),
     };
-    entry.claims.ended(organisation, key, claim, log.state());
+    entry.claims.report_run_state(organisation, key, claim, log.state());
     answer
 }
 
-fn granted(answer: ClaimAnswer) -> Result<u64, Failure> {
+/// The number of a granted claim, or the failure to return.
+fn granted_claim(answer: ClaimAnswer) -> Result<u64, Failure> {
     match answer {
         ClaimAnswer::Granted(claim) => Ok(claim),
         ClaimAnswer::Taken(end) => {
@@ -132,25 +137,25 @@
         ClaimAnswer::NotHolder | ClaimAnswer::Unavailable => {
             let reason = "Whether the key is new cannot be asked now; the call was not run.";
             let failure = Failure::before_work(FailureKind::ClaimUnavailable, reason);
-            Err(failure.retry_after(COME_BACK))
+            Err(failure.retry_after(RETRY_AFTER))
         }
     }
 }
 
-/// Gives the caller a key for a call not to be repeated.
+/// Returns a new key for a call that must not run twice.
 pub(crate) async fn mint_key(entry: &Entry) -> Result<Response<ReplyBody>, Failure> {
     match entry.claims.mint().await {
         Some(key) => Ok(json_reply(StatusCode::OK, &serde_json::json!({ "key": key }))),
         None => {
             let reason = "Control cannot be reached.";
             let failure = Failure::before_work(FailureKind::ClaimUnavailable, reason);
-            Err(failure.retry_after(COME_BACK))
+            Err(failure.retry_after(RETRY_AFTER))
         }
     }
 }
 
-/// Tries one address after another. A call that may have run is only sent again if it may be
-/// repeated.
+/// Tries one address after another. A call that may have run is only sent again if it is
+/// idempotent.
 async fn send(
     entry: &Entry,
     context: &CallerContext,
@@ -158,14 +163,14 @@
     log: &mut RunLog,
 ) -> Result<Response<ReplyBody>, Failure> {
     let mut reason = "The service has no address.".to_owned();
-    for address in call.addresses.iter().cycle().take(call.max_tries) {
-        let left = call.deadline.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+    for address in call.addresses.iter().cycle().take(call.max_attempts) {
+        let remaining = call.deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             let reason = "The deadline passed before the service answered.";
             return Err(Failure::new(FailureKind::DeadlineExceeded, log.state(), reason));
         }
-        match entry.http.call(*address, service_request(context, call), left).await {
-            Ok(answer) if said_not_run(&answer) => {
+        match entry.http.call(*address, service_request(context, call), remaining).await {
+            Ok(answer) if reports_not_run(&answer) => {
                 log.sent();
                 log.refused();
                 reason = format!("{address} refused the call without running it.");
@@ -173,20 +178,20 @@
             Ok(answer) => {
                 log.sent();
                 log.ran();
-                return Ok(pass_on(context, &answer));
+                return Ok(forward_reply(context, &answer));
             }
             Err(CallError::NotSent { reason: why, .. }) => reason = why,
             Err(CallError::Lost { reason: why, .. }) => {
                 log.sent();
                 reason = why;
-                if !call.repeatable {
+                if !call.is_idempotent {
                     break;
                 }
             }
         }
     }
     let failure = Failure::new(FailureKind::ServiceLost, log.state(), reason);
-    Err(failure.retry_after(COME_BACK))
+    Err(failure.retry_after(RETRY_AFTER))
 }
 
 fn service_request(context: &CallerContext, call: &ServiceCall) -> hyper::Request<Bytes> {
@@ -200,12 +205,12 @@
     request
 }
 
-fn said_not_run(answer: &CallReply) -> bool {
+fn reports_not_run(answer: &CallReply) -> bool {
     answer.status == StatusCode::SERVICE_UNAVAILABLE
         && answer.headers.get(RUN_STATE_HEADER).is_some_and(|value| value == "not_run")
 }
 
-fn pass_on(context: &CallerContext, answer: &CallReply) -> Response<ReplyBody> {
+fn forward_reply(context: &CallerContext, answer: &CallReply) -> Response<ReplyBody> {
     let mut reply = reply(answer.status, "application/json", answer.body.clone());
     if let Some(content_type) = answer.headers.get("content-type") {
         reply.headers_mut().insert("content-type", content_type.clone());
--- a/crates/sillbank_entry/src/sink.rs
+++ b/crates/sillbank_entry/src/sink.rs
@@ -1,4 +1,4 @@
-//! Where the tokens of an answer go: into a stream of events, or into one whole reply.
+//! Delivers the tokens of an answer, as a stream of events or as one reply.
 
 use crate::chat::{Chunk, FinishReason, write_chunk};
 use bytes::BufMut;
@@ -8,12 +8,12 @@
 use std::fmt::Write;
 use std::task::{Context, Poll};
 
-/// What the handler waits for before it can answer the caller.
-pub(crate) enum Head {
-    /// The first token is there: the stream may begin.
+/// Start of a reply, for which the handler waits before it answers the caller.
+pub(crate) enum ReplyHead {
+    /// The first token is available: the stream can start.
     Stream,
-    /// The whole answer.
-    Whole {
+    /// The complete answer.
+    Complete {
         /// Its text.
         text: String,
         /// Its number of tokens.
@@ -25,15 +25,15 @@
 
 /// How the answer is delivered.
 enum Mode {
-    Stream { begun: bool },
-    Whole { text: String },
+    Stream { started: bool },
+    Complete { text: String },
 }
 
-/// The caller's side of one generation.
+/// Output of one generation to its caller.
 pub(crate) struct Sink {
     mode: Mode,
     outbox: Outbox,
-    head: Sender<Result<Head, Failure>>,
+    head: Sender<Result<ReplyHead, Failure>>,
     answer_id: String,
     model: PipelineId,
     tokens: u32,
@@ -46,14 +46,14 @@
     pub(crate) fn new(
         stream: bool,
         outbox: Outbox,
-        head: Sender<Result<Head, Failure>>,
+        head: Sender<Result<ReplyHead, Failure>>,
         answer_id: String,
         model: PipelineId,
         span: tracing::Span,
     ) -> Self {
         let mode = match stream {
-            true => Mode::Stream { begun: false },
-            false => Mode::Whole { text: String::new() },
+            true => Mode::Stream { started: false },
+            false => Mode::Complete { text: String::new() },
         };
         Self {
             mode,
@@ -68,26 +68,26 @@
         }
     }
 
-    /// Span of the caller's request.
+    /// Logging span of the caller's request.
     pub(crate) fn span(&self) -> &tracing::Span {
         &self.span
     }
 
-    /// Delivers a token.
+    /// Delivers the token with the given index in the answer.
     pub(crate) fn token(&mut self, number: u32, token: TokenId) {
         self.tokens = number + 1;
-        let ends = token == self.end_token;
-        if ends {
+        let is_end = token == self.end_token;
+        if is_end {
             self.reason = FinishReason::Stop;
         }
         match &mut self.mode {
-            Mode::Whole { text } if !ends => text.push_str(&sillbank_model::detokenize(token)),
-            Mode::Whole { .. } => {}
-            Mode::Stream { begun } => {
-                if !std::mem::replace(begun, true) {
-                    self.send_head(Ok(Head::Stream));
+            Mode::Complete { text } if !is_end => text.push_str(&sillbank_model::detokenize(token)),
+            Mode::Complete { .. } => {}
+            Mode::Stream { started } => {
+                if !std::mem::replace(started, true) {
+                    self.send_head(Ok(ReplyHead::Stream));
                 }
-                if !ends {
+                if !is_end {
                     let text = sillbank_model::detokenize(token);
                     self.write_chunk(Some(&text), None);
                 }
@@ -95,16 +95,16 @@
         }
     }
 
-    /// Ends a whole answer.
+    /// Completes the answer.
     pub(crate) fn finish(&mut self) {
-        if let Mode::Whole { text } = &mut self.mode {
+        if let Mode::Complete { text } = &mut self.mode {
             let text = std::mem::take(text);
-            let head = Head::Whole { text, tokens: self.tokens, reason: self.reason };
+            let head = ReplyHead::Complete { text, tokens: self.tokens, reason: self.reason };
             self.send_head(Ok(head));
             return;
         }
-        // A resumed answer may be whole without any token left to deliver.
-        self.send_head(Ok(Head::Stream));
+        // A resumed answer may be complete with no token left to deliver.
+        self.send_head(Ok(ReplyHead::Stream));
         self.write_chunk(None, Some(self.reason));
         self.outbox.write(b"data: [DONE]\n\n");
         self.outbox.close();
@@ -112,7 +112,7 @@
 
     /// Ends an answer with a failure.
     pub(crate) fn fail(&mut self, failure: Failure) {
-        if let Mode::Stream { begun: true } = self.mode {
+        if let Mode::Stream { started: true } = self.mode {
             let body = sillbank_net::failures::failure_json(&failure);
             self.outbox.write(format!("event: error\ndata: {body}\n\n").as_bytes());
             self.outbox.close();
@@ -121,9 +121,9 @@
         self.send_head(Err(failure));
     }
 
-    /// Tells the caller to go on with another VM from what it has.
+    /// Tells the caller to resume at another VM after the tokens it has received.
     pub(crate) fn hand_over(&mut self, run: RunState) {
-        if let Mode::Stream { begun: true } = self.mode {
+        if let Mode::Stream { started: true } = self.mode {
             let event =
                 format!("event: resume\nid: {}\ndata: {{\"resume\":true}}\n\n", self.tokens);
             self.outbox.write(event.as_bytes());
@@ -134,26 +134,26 @@
         self.send_head(Err(Failure::new(FailureKind::Stopping, run, reason)));
     }
 
-    /// Hands the head over to the task that answers the caller, once.
-    fn send_head(&self, head: Result<Head, Failure>) {
+    /// Sends the start of the reply to the task that answers the caller; only the first one is used.
+    fn send_head(&self, head: Result<ReplyHead, Failure>) {
         if let Err(error) = self.head.try_send(head) {
-            // A head went before, or the caller has gone: nobody waits for this one.
-            tracing::debug!(answer = %self.answer_id, %error, "caller: A head was not needed.");
+            // An earlier head was sent, or the caller has disconnected: nothing waits for this one.
+            tracing::debug!(answer = %self.answer_id, %error, "caller: A reply head was discarded.");
         }
     }
 
-    /// Bytes the caller has not read.
-    pub(crate) fn waiting_bytes(&self) -> usize {
+    /// Bytes that the caller has not read yet.
+    pub(crate) fn buffered_bytes(&self) -> usize {
         self.outbox.waiting_bytes()
     }
 
-    /// Waits until the caller has read all but `limit` bytes.
+    /// Waits until at most `limit` bytes are unread.
     pub(crate) async fn drained_to(&self, limit: usize) {
         self.outbox.drained_to(limit).await;
     }
 
-    /// Whether the caller has gone.
-    pub(crate) fn poll_gone(&self, context: &mut Context<'_>) -> Poll<()> {
+    /// Ready once the caller has disconnected.
+    pub(crate) fn poll_disconnected(&self, context: &mut Context<'_>) -> Poll<()> {
         self.outbox.poll_gone(context)
     }
 
--- a/crates/sillbank_entry/src/state.rs
+++ b/crates/sillbank_entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of one entry process share. All of it lives on one thread.
+//! State shared by the parts of one entry process. Everything runs on one thread.
 
 use crate::claims::ControlClaims;
 use crate::engine_link::EngineLink;
@@ -17,10 +17,10 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Longest answer of a plain service.
+/// Maximum size of a plain service's reply.
 const MAX_SERVICE_REPLY_BYTES: usize = 8 << 20;
 
-/// One entry process.
+/// State of one entry process.
 pub(crate) struct Entry {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) settings: EntrySettings,
@@ -57,13 +57,13 @@
         })
     }
 
-    /// Whether callers may be sent here.
+    /// Whether the readiness probe succeeds: settings are in force and the VM is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         self.in_force.get() > 0 && !self.stop.is_stopping()
     }
 
-    /// Chooses a chain for a whole pipeline and counts it in.
-    pub(crate) fn take_chain(&self, request: &ChainRequest<'_>) -> Option<Vec<ChainLink>> {
+    /// Chooses a chain of endpoints and counts the request at each of them.
+    pub(crate) fn reserve_chain(&self, request: &ChainRequest<'_>) -> Option<Vec<ChainLink>> {
         let mut policy = self.policy.borrow_mut();
         let mut rng = self.rng.borrow_mut();
         let mut table = self.table.borrow_mut();
@@ -77,9 +77,9 @@
         Some(chain)
     }
 
-    /// Counts a stage once more at an endpoint that leaves and can be reached; `None` if it does not leave or cannot. A
-    /// stage that began there is no new work for it, and nobody else may take it.
-    pub(crate) fn take_leaving_endpoint(&self, slot: EndpointSlot) -> Option<EndpointSlot> {
+    /// Counts a stage once more at a connected endpoint that is leaving; `None` if it is not leaving or not connected.
+    /// A stage that started at a leaving endpoint is not new work for it, and no other endpoint may be able to take it.
+    pub(crate) fn reserve_leaving_endpoint(&self, slot: EndpointSlot) -> Option<EndpointSlot> {
         self.link(slot)?;
         let mut table = self.table.borrow_mut();
         let endpoint = table.get_mut(slot);
@@ -90,19 +90,19 @@
         Some(slot)
     }
 
-    /// Notes what is to be prefilled at an endpoint.
-    pub(crate) fn note_prefill(&self, slot: EndpointSlot, link: &EngineLink) {
+    /// Updates the number of positions that an endpoint has yet to prefill.
+    pub(crate) fn update_prefill(&self, slot: EndpointSlot, link: &EngineLink) {
         self.table.borrow_mut().get_mut(slot).prefill_outstanding = link.prefill_positions();
     }
 
-    /// Counts one request less at an endpoint.
-    pub(crate) fn leave_endpoint(&self, slot: EndpointSlot) {
+    /// Counts one request fewer at an endpoint.
+    pub(crate) fn release_endpoint(&self, slot: EndpointSlot) {
         let mut table = self.table.borrow_mut();
         let endpoint = table.get_mut(slot);
         endpoint.requests = endpoint.requests.saturating_sub(1);
     }
 
-    /// The connection to an endpoint, if it stands.
+    /// The connection to an endpoint, if it is open.
     pub(crate) fn link(&self, slot: EndpointSlot) -> Option<Rc<EngineLink>> {
         self.links.borrow().get(&slot).filter(|link| link.is_open()).cloned()
     }
--- a/crates/sillbank_entry/src/stop.rs
+++ b/crates/sillbank_entry/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: readiness falls, what is in flight ends or is handed over.
+//! Graceful shutdown: readiness is withdrawn, requests in flight end or are handed over.
 
 use crate::in_flight::Generations;
 use crate::state::Entry;
@@ -10,10 +10,10 @@
 use std::sync::LazyLock;
 use std::time::{Duration, Instant};
 
-/// Time between looks at what is still in flight.
-const LOOK: Duration = Duration::from_millis(10);
-/// Time that replies already written have to leave.
-const FLUSH: Duration = Duration::from_millis(100);
+/// Time between checks for work in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for replies already written to reach their callers before the process exits.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
 
 named_enum! {
     enum VmState {
@@ -45,7 +45,7 @@
         .expect("the built-in chart is checked by a test")
 });
 
-/// What is in flight, and whether the VM stops.
+/// Work in flight, and whether the VM is stopping.
 #[derive(Default)]
 pub(crate) struct StopState {
     stopping: Cell<bool>,
@@ -54,7 +54,7 @@
 }
 
 impl StopState {
-    /// Whether no new work is taken.
+    /// Whether new work is refused.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.get()
     }
@@ -79,22 +79,22 @@
     }
 }
 
-/// Waits for a signal, then stops as the chart says.
+/// Waits for a signal, then shuts down as the state chart defines.
 pub(crate) async fn wait(entry: &Entry, mut signals: Signals) {
     signals.next().await;
     let mut state = step(entry, CHART.initial(), VmEvent::Stop);
-    let limit = Instant::now() + entry.settings.stop_limit;
+    let stop_deadline = Instant::now() + entry.settings.stop_limit;
     while state != VmState::Stopped {
         if entry.stop.is_empty() {
             state = step(entry, state, VmEvent::Empty);
         } else {
-            if Instant::now() >= limit {
+            if Instant::now() >= stop_deadline {
                 state = step(entry, state, VmEvent::Limit);
             }
-            Timer::after(LOOK).await;
+            Timer::after(DRAIN_POLL_INTERVAL).await;
         }
     }
-    Timer::after(FLUSH).await;
+    Timer::after(FLUSH_TIME).await;
 }
 
 fn step(entry: &Entry, state: VmState, event: VmEvent) -> VmState {
@@ -104,7 +104,7 @@
     match transition.action {
         VmAction::RefuseNew => {
             entry.stop.stopping.set(true);
-            tracing::info!("entry: Stopping; no new work is taken.");
+            tracing::info!("entry: Stopping; new work is refused.");
         }
         VmAction::HandOver => {
             tracing::info!("entry: The stop limit is reached; streams are handed over.");
--- a/crates/sillbank_entry/src/sweep.rs
+++ b/crates/sillbank_entry/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Finds endpoints that are silent, replies that are late, and ejected endpoints that are back.
+//! Detects silent endpoints and overdue replies, and probes ejected endpoints.
 
 use crate::engine_link::EngineLink;
 use crate::state::Entry;
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 /// Time between sweeps.
-const SWEEP: Duration = Duration::from_millis(20);
-/// Time a probe may take.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many silence limits a single reply may be late while the endpoint answers others.
+/// A single reply is overdue after this many silence limits while the endpoint answers other steps.
 const OVERDUE_FACTOR: u32 = 4;
 
-/// Looks after endpoints.
+/// Checks the health of the endpoints periodically.
 pub(crate) struct SweepPlugin;
 
 impl Plugin<Entry> for SweepPlugin {
@@ -29,23 +29,23 @@
     }
 }
 
-/// Sweeps for ever.
+/// Sweeps at a fixed interval for as long as the process runs.
 async fn run(entry: Rc<Entry>) {
     loop {
-        Timer::after(SWEEP).await;
+        Timer::after(SWEEP_INTERVAL).await;
         let now = Instant::now();
         entry.table.borrow_mut().on_time(now);
         let links: Vec<(EndpointSlot, Rc<EngineLink>)> =
             entry.links.borrow().iter().map(|(slot, link)| (*slot, link.clone())).collect();
         for (slot, link) in links {
-            look_at(&entry, slot, &link, now);
+            check(&entry, slot, &link, now);
             close_if_unused(&entry, slot, &link);
         }
         start_probes(&entry, now);
     }
 }
 
-/// Ends the connection of an endpoint that settings no longer hold once nobody uses it.
+/// Closes the connection to an endpoint that is no longer in the settings once no request uses it.
 fn close_if_unused(entry: &Entry, slot: EndpointSlot, link: &EngineLink) {
     let table = entry.table.borrow();
     let endpoint = table.get(slot);
@@ -54,7 +54,8 @@
     }
 }
 
-fn look_at(entry: &Entry, slot: EndpointSlot, link: &EngineLink, now: Instant) {
+/// Checks whether an endpoint is silent or has overdue replies.
+fn check(entry: &Entry, slot: EndpointSlot, link: &EngineLink, now: Instant) {
     let Some(oldest) = link.awaited.borrow().oldest_sent_at() else {
         return;
     };
@@ -63,22 +64,29 @@
     let ceiling = Duration::from_millis(entry.tree.borrow().effective(&key).policy.silence_ms);
     let limit =
         entry.table.borrow().get(slot).cost.silence_limit(link.prefill_positions(), ceiling);
-    let silent = now.saturating_duration_since(oldest.max(link.heard_at.get()));
+    let silent = now.saturating_duration_since(oldest.max(link.last_received_at.get()));
     if silent > limit {
-        lose(entry, slot, link, silent, now);
+        eject_silent(entry, slot, link, silent, now);
     } else {
         resend_overdue(link, limit * OVERDUE_FACTOR, now);
     }
 }
 
-fn lose(entry: &Entry, slot: EndpointSlot, link: &EngineLink, silent: Duration, now: Instant) {
+/// Ejects a silent endpoint and reports its loss to every request that waits for it.
+fn eject_silent(
+    entry: &Entry,
+    slot: EndpointSlot,
+    link: &EngineLink,
+    silent: Duration,
+    now: Instant,
+) {
     let id = {
         let mut table = entry.table.borrow_mut();
         let endpoint = table.get_mut(slot);
         endpoint.health.on_event(now, HealthEvent::Failure);
         endpoint.spec.id.clone()
     };
-    let lost = link.lose_all();
+    let lost = link.report_lost();
     entry.metrics.silent_endpoints.inc();
     tracing::warn!(
         "entry: Endpoint {id} was silent for {} ms; {lost} stages are replaced.",
@@ -96,12 +104,13 @@
 fn start_probes(entry: &Rc<Entry>, now: Instant) {
     let due = entry.table.borrow().probes_due(now);
     for slot in due {
-        // Until the probe has ended the endpoint counts as failed again, so none is doubled.
+        // Until the probe ends, count it as failed, so that no second probe is due meanwhile.
         entry.table.borrow_mut().get_mut(slot).health.on_event(now, HealthEvent::ProbeFailed);
         entry.executor.spawn(probe(entry.clone(), slot)).detach();
     }
 }
 
+/// Asks an ejected endpoint for its state. It is healthy if it holds its layers and is neither loading nor leaving.
 async fn probe(entry: Rc<Entry>, slot: EndpointSlot) {
     let address = entry.table.borrow().get(slot).spec.address.parse();
     let Ok(address) = address else {
@@ -113,12 +122,12 @@
     };
     let mut table = entry.table.borrow_mut();
     let endpoint = table.get_mut(slot);
-    let wanted = endpoint.spec.layers;
-    let fits = reply.json::<EngineState>().is_ok_and(|state| {
-        let held = state.layers.first <= wanted.first && wanted.end <= state.layers.end;
-        held && !state.loading && !state.leaving
+    let assigned = endpoint.spec.layers;
+    let is_healthy = reply.json::<EngineState>().is_ok_and(|state| {
+        let holds_layers = state.layers.first <= assigned.first && assigned.end <= state.layers.end;
+        holds_layers && !state.loading && !state.leaving
     });
-    if fits {
+    if is_healthy {
         endpoint.health.on_event(Instant::now(), HealthEvent::ProbeOk);
     }
 }
--- a/crates/sillbank_entry/src/trace.rs
+++ b/crates/sillbank_entry/src/trace.rs
@@ -1,8 +1,8 @@
-//! W3C trace context: taken from callers, handed on to services and back.
+//! W3C trace context: read from callers, forwarded to services and returned in replies.
 
 use hyper::header::{HeaderMap, HeaderValue};
 
-/// The trace a request belongs to and the span this process adds to it.
+/// The trace of a request and the span that this process adds to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TraceContext {
     trace_id: u128,
@@ -11,20 +11,20 @@
 }
 
 impl TraceContext {
-    /// Goes on with the caller's trace, or begins one.
+    /// Continues the caller's trace, or starts a new one.
     pub(crate) fn from_headers(headers: &HeaderMap, rng: &mut fastrand::Rng) -> Self {
         let given = headers.get("traceparent").and_then(|v| v.to_str().ok()).and_then(parse);
         let (trace_id, parent_id) = given.unwrap_or_else(|| (rng.u128(1..), 0));
         Self { trace_id, parent_id, span_id: rng.u64(1..) }
     }
 
-    /// The header for the next process.
+    /// The `traceparent` header that makes this span the parent.
     pub(crate) fn header(&self) -> HeaderValue {
         let text = format!("00-{:032x}-{:016x}-01", self.trace_id, self.span_id);
         HeaderValue::from_str(&text).unwrap_or_else(|_| HeaderValue::from_static(""))
     }
 
-    /// The span of a caller's request.
+    /// The logging span of a caller's request.
     pub(crate) fn span(&self, request_id: &str, organisation: &str) -> tracing::Span {
         tracing::debug_span!(
             "caller",
@@ -37,6 +37,7 @@
     }
 }
 
+/// Parses `traceparent` into trace id and parent id; only version 00 is supported.
 fn parse(text: &str) -> Option<(u128, u64)> {
     let mut parts = text.split('-');
     let (version, trace, parent) = (parts.next()?, parts.next()?, parts.next()?);
