--- a/crates/sillbank_control/src/admin.rs
+++ b/crates/sillbank_control/src/admin.rs
@@ -1,14 +1,14 @@
-//! The administration interface, health and status over HTTP.
+//! HTTP interface for administration, health and status.
 //!
 //! - `GET /v1/objects?prefix=P` lists objects, `GET /v1/objects/KEY` reads one.
 //! - `PUT /v1/objects/KEY` and `DELETE /v1/objects/KEY` with `If-Match: VERSION` or
 //!   `If-None-Match: *`, and `X-Why: REASON`.
-//! - `GET /v1/effective/KEY` gives each setting in force and where it came from.
-//! - `GET /v1/status` is this VM's own view, `GET /v1/fleet` that of all halls.
+//! - `GET /v1/effective/KEY` returns each setting in force and the object it comes from.
+//! - `GET /v1/status` returns this VM's own view, `GET /v1/fleet` the status of all halls.
 
 use crate::fleet_status;
 use crate::state::Control;
-use crate::write::{Write, carry_out};
+use crate::write::{Write, execute};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -22,12 +22,12 @@
 use smol::net::TcpListener;
 use std::rc::Rc;
 
-/// Longest object, the platform's limit.
+/// Maximum size of an object, the platform's limit.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
 
-/// The administration interface.
+/// Serves the administration interface.
 pub(crate) struct AdminPlugin {
-    /// Where operators come.
+    /// Listener of the admin address.
     pub(crate) listener: TcpListener,
 }
 
@@ -39,21 +39,21 @@
     }
 }
 
-/// Answers operators and the platform's health checks.
+/// Handles requests of operators and the platform's health checks.
 struct AdminHandler {
     control: Rc<Control>,
 }
 
-/// Who asks, and where it may write.
+/// An authenticated operator and the subtree in which it may write.
 struct Operator {
     name: String,
     subtree: String,
 }
 
 impl Operator {
-    fn may_write(&self, place: &str) -> bool {
-        let under = place.strip_prefix(self.subtree.trim_end_matches('/'));
-        under.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+    fn may_write(&self, node_path: &str) -> bool {
+        let rest = node_path.strip_prefix(self.subtree.trim_end_matches('/'));
+        rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     }
 }
 
@@ -64,22 +64,22 @@
     ) -> Result<Response<ReplyBody>, AdminFailure> {
         let (head, body) = request.into_parts();
         let path = head.uri.path();
-        let get = head.method == Method::GET;
+        let is_get = head.method == Method::GET;
         match path {
-            "/healthz" if get => return Ok(text_reply(StatusCode::OK, "ok")),
-            "/readyz" if get => return Ok(self.readiness()),
-            "/metrics" if get => return Ok(metrics_reply(&self.control.metrics.registry)),
-            "/v1/status" if get => return Ok(json_reply(StatusCode::OK, &self.status())),
+            "/healthz" if is_get => return Ok(text_reply(StatusCode::OK, "ok")),
+            "/readyz" if is_get => return Ok(self.readiness()),
+            "/metrics" if is_get => return Ok(metrics_reply(&self.control.metrics.registry)),
+            "/v1/status" if is_get => return Ok(json_reply(StatusCode::OK, &self.status())),
             _ => {}
         }
         let operator = self.operator(&head.headers)?;
-        if path == "/v1/fleet" && get {
+        if path == "/v1/fleet" && is_get {
             return self.fleet().await;
         }
-        if let Some(key) = path.strip_prefix("/v1/effective/").filter(|_| get) {
+        if let Some(key) = path.strip_prefix("/v1/effective/").filter(|_| is_get) {
             return Ok(self.effective(key));
         }
-        if path == "/v1/objects" && get {
+        if path == "/v1/objects" && is_get {
             let query = head.uri.query().unwrap_or_default();
             let prefix = query.strip_prefix("prefix=").unwrap_or_default();
             return Ok(json_reply(StatusCode::OK, &self.control.store.objects().list(prefix)));
@@ -97,13 +97,13 @@
     }
 
     fn readiness(&self) -> Response<ReplyBody> {
-        match self.control.store.served() {
+        match self.control.store.served_version() {
             None => text_reply(StatusCode::SERVICE_UNAVAILABLE, "no settings"),
             Some(_) => text_reply(StatusCode::OK, "ok"),
         }
     }
 
-    /// Own state, and what every VM that was heard said of itself.
+    /// This VM's state, and the last summary of each known VM.
     fn status(&self) -> serde_json::Value {
         let control = &self.control;
         let own = control.summary();
@@ -116,32 +116,32 @@
             "platform_age_ms": own.platform_age_ms,
             "heard_ms": 0,
         })];
-        let heard = control.heard.borrow();
+        let summaries = control.peer_summaries.borrow();
         for member in control.membership.borrow().members().all() {
-            let said = heard.get(&member.update.vm);
+            let peer = summaries.get(&member.update.vm);
             vms.push(serde_json::json!({
                 "vm": member.update.vm,
                 "hall": member.update.hall,
                 "state": format!("{:?}", member.update.state),
-                "in_force_version": said.map(|h| h.summary.in_force),
-                "complete_version": said.map(|h| h.summary.complete),
-                "platform_age_ms": said.map(|h| h.summary.platform_age_ms),
-                "heard_ms": said.map(|h| h.at.elapsed().as_millis() as u64),
+                "in_force_version": peer.map(|p| p.summary.in_force),
+                "complete_version": peer.map(|p| p.summary.complete),
+                "platform_age_ms": peer.map(|p| p.summary.platform_age_ms),
+                "heard_ms": peer.map(|p| p.received_at.elapsed().as_millis() as u64),
             }));
         }
         serde_json::json!({
             "vm": control.settings.vm,
             "complete_version": own.complete,
             "objects": control.store.objects().len(),
-            "invalid": fleet_status::invalid(control),
-            "gives_orders": control.gives_orders.get(),
+            "invalid": fleet_status::invalid_objects(control),
+            "gives_orders": control.holds_orders_lease.get(),
             "slots": control.slots.held(),
-            "claimed_keys": control.slots.keys(),
+            "claimed_keys": control.slots.key_count(),
             "vms": vms,
         })
     }
 
-    /// All halls, their VMs and what is in force in each.
+    /// All halls, their VMs and the settings version in force at each.
     async fn fleet(&self) -> Result<Response<ReplyBody>, AdminFailure> {
         let newest = self.control.store.objects().newest();
         match fleet_status::all_halls(&self.control).await {
@@ -156,13 +156,14 @@
         }
     }
 
-    /// Where a stored object stands in the tree.
-    fn place_of(&self, key: &str) -> Option<String> {
+    /// Path of a stored object's node in the tree.
+    fn node_path_of(&self, key: &str) -> Option<String> {
         let control = &self.control;
         control.store.objects().get(key)?;
         control.store.tree().place_of(key)
     }
 
+    /// The operator of the bearer key.
     fn operator(&self, headers: &HeaderMap) -> Result<Operator, AdminFailure> {
         let value = headers.get("authorization").and_then(|value| value.to_str().ok());
         let hash = value.and_then(|value| value.strip_prefix("Bearer ")).map(hash_key);
@@ -202,7 +203,7 @@
     }
 
     fn new_mark(&self) -> String {
-        format!("{:032x}", self.control.draw_mark())
+        format!("{:032x}", self.control.unique_id())
     }
 
     async fn put(
@@ -218,7 +219,7 @@
         let invalid =
             |problems: Problems| AdminFailure::new(AdminFailureKind::Invalid, problems.to_string());
         let object = read_object_value(key, value.clone()).map_err(invalid)?;
-        self.check_right(operator, key, Some(&object.place(key)))?;
+        self.check_permission(operator, key, Some(&object.place(key)))?;
         self.control.store.tree().check_references(key, &object).map_err(invalid)?;
         let mark = self.new_mark();
         let note = WriteNote { by: operator.name.clone(), why: why(headers), mark: mark.clone() };
@@ -236,31 +237,31 @@
         headers: &HeaderMap,
     ) -> Result<Response<ReplyBody>, AdminFailure> {
         let expected = expected_version(headers)?;
-        self.check_right(operator, key, None)?;
+        self.check_permission(operator, key, None)?;
         self.write(Write { key: key.to_owned(), expected, value: None, mark: self.new_mark() })
             .await
     }
 
     async fn write(&self, write: Write) -> Result<Response<ReplyBody>, AdminFailure> {
-        let object = carry_out(&self.control.platform, &write).await?;
-        self.control.store.take(object.clone());
-        tracing::info!("control: {} is written as version {}.", object.key, object.version);
+        let object = execute(&self.control.platform, &write).await?;
+        self.control.store.apply(object.clone());
+        tracing::info!("control: Object {} was written as version {}.", object.key, object.version);
         Ok(json_reply(StatusCode::OK, &object))
     }
 
-    /// An operator needs the right to where the object stands and to where it will stand.
-    fn check_right(
+    /// An operator needs permission for the object's current node and for its new one.
+    fn check_permission(
         &self,
         operator: &Operator,
         key: &str,
-        new_place: Option<&str>,
+        new_path: Option<&str>,
     ) -> Result<(), AdminFailure> {
-        let old_place = self.place_of(key);
-        let mut places = old_place.iter().map(String::as_str).chain(new_place);
-        match places.find(|place| !operator.may_write(place)) {
+        let old_path = self.node_path_of(key);
+        let mut paths = old_path.iter().map(String::as_str).chain(new_path);
+        match paths.find(|path| !operator.may_write(path)) {
             None => Ok(()),
-            Some(place) => {
-                let message = format!("'{}' may not write under {place}.", operator.name);
+            Some(path) => {
+                let message = format!("'{}' may not write under {path}.", operator.name);
                 Err(AdminFailure::new(AdminFailureKind::NoRight, message))
             }
         }
@@ -284,12 +285,13 @@
 }
 
 async fn read_body(body: Incoming) -> Result<Bytes, AdminFailure> {
-    let whole = Limited::new(body, MAX_OBJECT_BYTES).collect().await;
-    whole.map(http_body_util::Collected::to_bytes).map_err(|e| {
+    let collected = Limited::new(body, MAX_OBJECT_BYTES).collect().await;
+    collected.map(http_body_util::Collected::to_bytes).map_err(|e| {
         AdminFailure::new(AdminFailureKind::Malformed, format!("The body was not read: {e}."))
     })
 }
 
+/// The version in `If-Match`; `None` for `If-None-Match: *`.
 fn expected_version(headers: &HeaderMap) -> Result<Option<u64>, AdminFailure> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     match (text("if-match").map(str::parse), text("if-none-match")) {
@@ -299,6 +301,7 @@
     }
 }
 
+/// The reason of a write, from `X-Why`.
 fn why(headers: &HeaderMap) -> String {
     headers.get("x-why").and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
 }
--- a/crates/sillbank_control/src/entry_link.rs
+++ b/crates/sillbank_control/src/entry_link.rs
@@ -1,4 +1,4 @@
-//! Hands settings to the entry processes of this VM.
+//! Connections from the entry processes of this VM: sends settings and answers claims.
 
 use crate::once;
 use crate::state::Control;
@@ -9,10 +9,10 @@
 use smol::net::TcpStream;
 use std::rc::Rc;
 
-/// Objects in one message; keeps messages under the frame limit for ordinary objects.
-const OBJECTS_IN_MESSAGE: usize = 64;
-/// Bytes of values in one message.
-const BYTES_IN_MESSAGE: usize = 512 << 10;
+/// Maximum objects in one message; keeps messages under the frame limit for ordinary objects.
+const MAX_MESSAGE_OBJECTS: usize = 64;
+/// Maximum bytes of keys and values in one message, unless a single object is larger.
+const MAX_MESSAGE_BYTES: usize = 512 << 10;
 
 /// Serves one entry until its connection ends.
 pub(crate) async fn serve(
@@ -23,14 +23,15 @@
     let EntryToControl::Hello { vm, after } = hello else {
         return Ok(());
     };
-    tracing::info!("control: The entry of {vm} came with version {after}.");
-    let (answers, to_send) = smol::channel::unbounded();
-    let reports = read_reports(control, stream.clone(), answers);
-    let sending = send_all(control, stream, after, to_send);
-    futures_lite::future::or(reports, sending).await
+    tracing::info!("control: The entry of {vm} connected at version {after}.");
+    let (answers, outgoing) = smol::channel::unbounded();
+    let reading = read_messages(control, stream.clone(), answers);
+    let sending = send_all(control, stream, after, outgoing);
+    futures_lite::future::or(reading, sending).await
 }
 
-async fn read_reports(
+/// Handles the messages of an entry.
+async fn read_messages(
     control: &Rc<Control>,
     mut reader: TcpStream,
     answers: Sender<ControlToEntry>,
@@ -41,49 +42,55 @@
             EntryToControl::InForce(version) => control.in_force.set(version),
             EntryToControl::Mint { id } => {
                 let key = once::mint_key(control);
-                answer(&answers, ControlToEntry::Minted { id, key });
+                queue_answer(&answers, ControlToEntry::Minted { id, key });
             }
             EntryToControl::Claim { id, organisation, key } => {
                 let (control, answers) = (control.clone(), answers.clone());
                 let spawner = control.executor.clone();
-                let work = async move {
-                    let claimed = once::claim(&control, &organisation, &key).await;
-                    answer(&answers, ControlToEntry::ClaimAnswer { id, answer: claimed });
+                let task = async move {
+                    let claim_answer = once::claim(&control, &organisation, &key).await;
+                    queue_answer(
+                        &answers,
+                        ControlToEntry::ClaimAnswer { id, answer: claim_answer },
+                    );
                 };
-                spawner.spawn(work).detach();
+                spawner.spawn(task).detach();
             }
             EntryToControl::ClaimEnded { organisation, key, claim, run } => {
                 let control = control.clone();
                 let spawner = control.executor.clone();
-                let work = async move {
-                    once::end(&control, &organisation, &key, claim, run).await;
+                let task = async move {
+                    once::report_end(&control, &organisation, &key, claim, run).await;
                 };
-                spawner.spawn(work).detach();
+                spawner.spawn(task).detach();
             }
         }
     }
 }
 
+/// Sends settings newer than a version as they arrive, and queued answers.
 async fn send_all(
     control: &Control,
     mut writer: TcpStream,
     after: Version,
     answers: Receiver<ControlToEntry>,
 ) -> Result<(), FrameError> {
-    let news = control.store.follow();
-    let mut sent = after;
+    let updates = control.store.subscribe();
+    let mut sent_version = after;
     loop {
-        if let Some(complete) = control.store.served().filter(|complete| *complete > sent) {
-            let newer = control.store.objects().newer_than(sent);
-            for chunk in chunks(newer) {
+        if let Some(complete) =
+            control.store.served_version().filter(|complete| *complete > sent_version)
+        {
+            let newer = control.store.objects().newer_than(sent_version);
+            for chunk in chunk_objects(newer) {
                 write_message(&mut writer, &ControlToEntry::Objects(chunk)).await?;
             }
             write_message(&mut writer, &ControlToEntry::Synced(complete)).await?;
-            sent = complete;
+            sent_version = complete;
         }
-        let next = async { answers.recv().await.map(Some) };
-        let new = async { news.recv().await.map(|()| None) };
-        match futures_lite::future::or(next, new).await {
+        let next_answer = async { answers.recv().await.map(Some) };
+        let next_update = async { updates.recv().await.map(|()| None) };
+        match futures_lite::future::or(next_answer, next_update).await {
             Ok(Some(answer)) => write_message(&mut writer, &answer).await?,
             Ok(None) => {}
             Err(_) => return Ok(()),
@@ -91,15 +98,15 @@
     }
 }
 
-/// Splits objects so that each message stays short.
-pub(crate) fn chunks(objects: Vec<Object>) -> Vec<Vec<Object>> {
+/// Splits objects into chunks within the limits of one message.
+pub(crate) fn chunk_objects(objects: Vec<Object>) -> Vec<Vec<Object>> {
     let mut all = Vec::new();
     let mut chunk: Vec<Object> = Vec::new();
     let mut bytes = 0;
     for object in objects {
         let size = object.value.len() + object.key.len();
-        let full = chunk.len() == OBJECTS_IN_MESSAGE || bytes + size > BYTES_IN_MESSAGE;
-        if full && !chunk.is_empty() {
+        let is_full = chunk.len() == MAX_MESSAGE_OBJECTS || bytes + size > MAX_MESSAGE_BYTES;
+        if is_full && !chunk.is_empty() {
             all.push(std::mem::take(&mut chunk));
             bytes = 0;
         }
@@ -112,10 +119,10 @@
     all
 }
 
-/// Hands an answer to the connection's writer.
-fn answer(answers: &Sender<ControlToEntry>, answer: ControlToEntry) {
+/// Queues an answer for the connection's writer.
+fn queue_answer(answers: &Sender<ControlToEntry>, answer: ControlToEntry) {
     if let Err(error) = answers.try_send(answer) {
-        // The connection has ended; the entry asks again on its next one.
-        tracing::debug!(%error, "control: An answer came after the entry had gone.");
+        // The connection has ended; the entry asks again on its next connection.
+        tracing::debug!(%error, "control: An answer was dropped: the entry has disconnected.");
     }
 }
--- a/crates/sillbank_control/src/fleet_status.rs
+++ b/crates/sillbank_control/src/fleet_status.rs
@@ -1,8 +1,8 @@
-//! Status of the whole fleet: one VM of each hall writes what its hall looks like to the platform,
-//! when it has changed, and any VM reads all halls when an operator asks.
+//! Status of the whole fleet. One VM of each hall writes the hall's status to the platform when it
+//! has changed, and any VM reads the status of all halls when an operator asks for it.
 
 use crate::lease_io::moment;
-use crate::platform_client::{PlatformError, WriteAnswer};
+use crate::platform_client::{PlatformError, WriteReply};
 use crate::state::Control;
 use serde::{Deserialize, Serialize};
 use sillbank_core::prelude::*;
@@ -12,41 +12,41 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Least time between two writes of one hall.
-const PAUSE: Duration = Duration::from_secs(5);
-/// Where the halls' statuses stand among all objects.
-const PREFIX: &str = "status/";
+/// Interval, within 10 %, between checks for a changed status. A hall writes at most once in each.
+const WRITE_INTERVAL: Duration = Duration::from_secs(5);
+/// Key prefix of the halls' statuses.
+const STATUS_PREFIX: &str = "status/";
 
-/// One VM as its hall sees it.
+/// Status of one VM, as seen by the VM that writes the hall's status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VmStatus {
     pub(crate) vm: VmId,
     pub(crate) hall: HallId,
     pub(crate) state: String,
-    /// Version of the settings in force in its entry, if it was heard.
+    /// Version of the settings in force in its entry; `None` if nothing was heard from the VM.
     pub(crate) in_force: Option<Version>,
 }
 
-/// One hall as one of its VMs sees it.
+/// Status of one hall, as seen by one of its VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HallStatus {
     pub(crate) hall: HallId,
     pub(crate) written_by: VmId,
-    /// When it was written, in milliseconds since 1970.
+    /// Time of writing, in milliseconds since the Unix epoch.
     pub(crate) written_ms: u64,
     pub(crate) vms: Vec<VmStatus>,
-    /// Stored objects that are not valid, with what is wrong.
+    /// Problems of stored objects that are invalid.
     pub(crate) invalid: Vec<String>,
 }
 
 impl HallStatus {
-    /// Whether two say the same, whoever wrote them and when.
-    fn says_the_same(&self, other: &Self) -> bool {
+    /// Whether two statuses differ at most in who wrote them and when.
+    fn has_same_content(&self, other: &Self) -> bool {
         (&self.vms, &self.invalid) == (&other.vms, &other.invalid)
     }
 }
 
-/// Writes the hall's status.
+/// Writes the hall's status to the platform.
 pub(crate) struct FleetStatusPlugin;
 
 impl Plugin<Control> for FleetStatusPlugin {
@@ -55,30 +55,31 @@
     }
 }
 
+/// Writes the hall's status when it has changed, while this VM is the chosen writer.
 async fn run(control: Rc<Control>) {
     let mut written: Option<HallStatus> = None;
     loop {
-        Timer::after(PAUSE.mul_f64(0.9 + 0.2 * control.chance.fraction())).await;
+        Timer::after(WRITE_INTERVAL.mul_f64(0.9 + 0.2 * control.rng.fraction())).await;
         if !control.membership.borrow().is_chosen("status", 1) {
             written = None;
             continue;
         }
-        let status = own_hall(&control);
-        if written.as_ref().is_some_and(|old| old.says_the_same(&status)) {
+        let status = local_hall(&control);
+        if written.as_ref().is_some_and(|old| old.has_same_content(&status)) {
             continue;
         }
         match write(&control, &status).await {
             Ok(true) => written = Some(status),
             Ok(false) => {}
-            Err(error) => tracing::debug!("control: The hall's status was not written: {error}."),
+            Err(error) => tracing::debug!("control: Writing the hall's status failed: {error}."),
         }
     }
 }
 
-/// The own hall, as heard by this VM.
-pub(crate) fn own_hall(control: &Control) -> HallStatus {
+/// Status of the local hall, as seen by this VM.
+pub(crate) fn local_hall(control: &Control) -> HallStatus {
     let hall = &control.settings.hall;
-    let heard = control.heard.borrow();
+    let summaries = control.peer_summaries.borrow();
     let mut vms = vec![VmStatus {
         vm: control.settings.vm.clone(),
         hall: hall.clone(),
@@ -91,7 +92,7 @@
         vm: member.update.vm.clone(),
         hall: hall.clone(),
         state: format!("{:?}", member.update.state),
-        in_force: heard.get(&member.update.vm).map(|heard| heard.summary.in_force),
+        in_force: summaries.get(&member.update.vm).map(|peer| peer.summary.in_force),
     }));
     vms.sort_by(|a, b| a.vm.cmp(&b.vm));
     HallStatus {
@@ -99,34 +100,34 @@
         written_by: control.settings.vm.clone(),
         written_ms: moment().wall_ms,
         vms,
-        invalid: invalid(control),
+        invalid: invalid_objects(control),
     }
 }
 
-/// Stored objects that are not valid, with what is wrong.
-pub(crate) fn invalid(control: &Control) -> Vec<String> {
+/// Problems of stored objects that are invalid.
+pub(crate) fn invalid_objects(control: &Control) -> Vec<String> {
     let tree = control.store.tree();
     tree.invalid().values().flat_map(|problems| &problems.0).map(ToString::to_string).collect()
 }
 
-/// Writes over whatever is there; false if somebody else wrote meanwhile.
+/// Overwrites the stored status. Returns false if another VM wrote in the meantime.
 async fn write(control: &Control, status: &HallStatus) -> Result<bool, PlatformError> {
-    let key = format!("{PREFIX}{}", status.hall);
-    let here = control.platform.read(&key).await?;
-    let version = here.filter(|object| !object.deleted).map(|object| object.version);
+    let key = format!("{STATUS_PREFIX}{}", status.hall);
+    let current = control.platform.read(&key).await?;
+    let version = current.filter(|object| !object.deleted).map(|object| object.version);
     let value = serde_json::to_string(status)?;
     let answer = control.platform.write(&key, version, Some(&value)).await?;
-    Ok(matches!(answer, WriteAnswer::Written(_)))
+    Ok(matches!(answer, WriteReply::Written(_)))
 }
 
-/// All halls: the own one as heard now, the others as they last wrote.
+/// Status of all halls: the local hall as seen now, the others as last written.
 pub(crate) async fn all_halls(control: &Control) -> Result<Vec<HallStatus>, PlatformError> {
-    let listing = control.platform.list_prefix(PREFIX).await?;
-    let own = own_hall(control);
+    let listing = control.platform.list_prefix(STATUS_PREFIX).await?;
+    let local = local_hall(control);
     let live = listing.objects.iter().filter(|object| !object.deleted);
     let others = live.filter_map(|object| serde_json::from_str::<HallStatus>(&object.value).ok());
-    let mut halls: Vec<HallStatus> = others.filter(|status| status.hall != own.hall).collect();
-    halls.push(own);
+    let mut halls: Vec<HallStatus> = others.filter(|status| status.hall != local.hall).collect();
+    halls.push(local);
     halls.sort_by(|a, b| a.hall.cmp(&b.hall));
     Ok(halls)
 }
--- a/crates/sillbank_control/src/lease_io.rs
+++ b/crates/sillbank_control/src/lease_io.rs
@@ -1,17 +1,17 @@
-//! Reads and writes the objects of leases.
+//! Reads and writes lease objects on the platform.
 
-use crate::platform_client::{PlatformError, WriteAnswer};
+use crate::platform_client::{PlatformError, WriteReply};
 use crate::state::Control;
 use sillbank_lease::{Candidate, LeaseRecord, LeaseWrite, Moment, WriteOutcome};
 use sillbank_protocol::platform::Version;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Now, by both clocks.
+/// The current time, on the monotonic and the wall clock.
 pub(crate) fn moment() -> Moment {
     Moment::from_clocks(Instant::now(), SystemTime::now())
 }
 
-/// Access to leases' objects.
+/// Access to lease objects.
 pub(crate) struct LeaseIo<'a> {
     control: &'a Control,
 }
@@ -21,17 +21,17 @@
         Self { control }
     }
 
-    /// This VM as a holder.
+    /// This VM as a candidate for a lease with the given term.
     pub(crate) fn candidate(&self, term: Duration) -> Candidate {
         Candidate { vm: self.control.settings.vm.clone(), peer: self.control.settings.listen, term }
     }
 
-    /// A new mark.
-    pub(crate) fn mark(&self) -> u64 {
-        self.control.chance.number()
+    /// A random mark that identifies one write.
+    pub(crate) fn new_mark(&self) -> u64 {
+        self.control.rng.number()
     }
 
-    /// Reads a lease's object.
+    /// Reads a lease object; `None` if it does not exist or is deleted.
     pub(crate) async fn read(
         &self,
         key: &str,
@@ -45,14 +45,14 @@
         }
     }
 
-    /// Carries out a write.
+    /// Performs a conditional write of a lease object.
     pub(crate) async fn write(&self, key: &str, write: &LeaseWrite) -> WriteOutcome {
         let Ok(value) = serde_json::to_string(&write.record) else {
             return WriteOutcome::Lost;
         };
         match self.control.platform.write(key, write.expected, Some(&value)).await {
-            Ok(WriteAnswer::Written(object)) => WriteOutcome::Written(object.version),
-            Ok(WriteAnswer::Changed(_)) => WriteOutcome::Changed,
+            Ok(WriteReply::Written(object)) => WriteOutcome::Written(object.version),
+            Ok(WriteReply::Changed(_)) => WriteOutcome::Changed,
             Err(_) => WriteOutcome::Lost,
         }
     }
--- a/crates/sillbank_control/src/main.rs
+++ b/crates/sillbank_control/src/main.rs
@@ -1,11 +1,10 @@
-//! `sillbank-control`: one per VM; keeps the settings of the fleet and hands them to entry.
+//! `sillbank-control`: runs once on each VM, replicates the fleet's settings and passes them to the entry process.
 
 #![forbid(unsafe_code)]
 
 mod admin;
 mod entry_link;
 mod fleet_status;
-mod follow;
 mod gossip;
 mod lease_io;
 mod metrics;
@@ -13,6 +12,7 @@
 mod orders;
 mod peers;
 mod platform_client;
+mod platform_watch;
 mod requests;
 mod state;
 mod store;
@@ -27,8 +27,8 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Time that the hand-over of slots may take when the VM is stopped.
-const STOP_LIMIT: std::time::Duration = std::time::Duration::from_secs(5);
+/// Time limit for handing over slots at shutdown.
+const HAND_OVER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// The control process of one VM: settings, membership, health, leases and status.
 /// Exit codes: 0 ended by SIGTERM, 1 failed, 2 wrong arguments or settings.
@@ -68,20 +68,20 @@
     let peers = TcpListener::bind(settings.listen).await?;
     let admin = TcpListener::bind(settings.admin_listen).await?;
     let socket = UdpSocket::bind(settings.gossip_listen).await?;
-    tracing::info!("control: VM {} in hall {} is up.", settings.vm, settings.hall);
+    tracing::info!("control: VM {} in hall {} has started.", settings.vm, settings.hall);
     let control = state::Control::new(executor.clone(), settings, socket);
     let _app = App::new(executor, control.clone())
         .add_plugin(peers::PeersPlugin { listener: peers })
         .add_plugin(gossip::GossipPlugin)
-        .add_plugin(follow::FollowPlugin)
+        .add_plugin(platform_watch::PlatformWatchPlugin)
         .add_plugin(once::OncePlugin)
         .add_plugin(orders::OrdersPlugin)
         .add_plugin(fleet_status::FleetStatusPlugin)
         .add_plugin(admin::AdminPlugin { listener: admin });
     stop.next().await;
-    let late = smol::Timer::after(STOP_LIMIT);
+    let timeout = smol::Timer::after(HAND_OVER_TIMEOUT);
     futures_lite::future::or(once::hand_over_all(&control), async {
-        late.await;
+        timeout.await;
     })
     .await;
     gossip::leave(&control).await;
--- a/crates/sillbank_control/src/metrics.rs
+++ b/crates/sillbank_control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What this process counts. Names and units stand in docs/operators/metrics.md.
+//! Metrics of the control process. docs/operators/metrics.md lists names and units.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
--- a/crates/sillbank_control/src/once.rs
+++ b/crates/sillbank_control/src/once.rs
@@ -1,8 +1,8 @@
-//! Slots of keys of calls not to be repeated: their leases, their claims, and claims at the
-//! holders of other slots.
+//! Slots of keys of at-most-once calls: their leases, their claims, and claims at the holders of
+//! slots that this VM does not hold.
 
 use crate::lease_io::{LeaseIo, moment};
-use crate::requests::ask;
+use crate::requests::send_request;
 use crate::state::Control;
 use sillbank_core::hash::rendezvous;
 use sillbank_core::prelude::*;
@@ -18,25 +18,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Pause between looks at the slots.
-const LOOK: Duration = Duration::from_millis(250);
-/// A new VM leaves free slots alone until it has heard of the others.
-const FIRST_LOOK: Duration = Duration::from_secs(2);
-/// Longest pause between looks at one slot.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Time for asking another VM.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an heir tries for a slot that it was handed.
-const HEIR_PATIENCE: Duration = Duration::from_secs(20);
+/// Time between checks of all slots.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// A new VM does not acquire free slots during this time, in which it hears of the other VMs.
+const STARTUP_DELAY: Duration = Duration::from_secs(2);
+/// Maximum pause between checks of one slot.
+const MAX_CHECK_PAUSE: Duration = Duration::from_secs(2);
+/// Timeout of a request to another VM.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a VM tries to acquire a slot whose claims were handed over to it.
+const HAND_OVER_ACQUIRE_TIME: Duration = Duration::from_secs(20);
 
-/// A slot, and when to look at it.
+/// A slot, and when it is checked next.
 struct WatchedSlot {
     slot: Slot,
     busy: bool,
-    look_at: Instant,
+    next_check: Instant,
 }
 
-/// All slots this VM may hold, and where others were last found.
+/// All slots that this VM may hold, and the last known holders of other slots.
 #[derive(Default)]
 pub(crate) struct Slots {
     slots: RefCell<HashMap<SlotId, WatchedSlot>>,
@@ -44,7 +44,7 @@
 }
 
 impl Slots {
-    /// Names of the slots held now.
+    /// Names of the slots held now, sorted.
     pub(crate) fn held(&self) -> Vec<SlotId> {
         let now = moment();
         let slots = self.slots.borrow();
@@ -54,13 +54,13 @@
         names
     }
 
-    /// Number of keys kept.
-    pub(crate) fn keys(&self) -> usize {
+    /// Number of keys stored.
+    pub(crate) fn key_count(&self) -> usize {
         self.slots.borrow().values().map(|watched| watched.slot.len()).sum()
     }
 }
 
-/// Holds slots of keys.
+/// Acquires and keeps slots of keys.
 pub(crate) struct OncePlugin;
 
 impl Plugin<Control> for OncePlugin {
@@ -69,30 +69,30 @@
     }
 }
 
-/// Takes, renews and drops slots for ever.
+/// Acquires, renews and releases slots for as long as the process runs.
 async fn run(control: Rc<Control>) {
     let io = LeaseIo::new(&control);
     for name in slot_names(&control.settings.hall) {
         let slot = WatchedSlot {
             slot: Slot::new(io.candidate(control.settings.once_term)),
             busy: false,
-            look_at: Instant::now() + FIRST_LOOK,
+            next_check: Instant::now() + STARTUP_DELAY,
         };
         control.slots.slots.borrow_mut().insert(name, slot);
     }
     loop {
-        Timer::after(LOOK).await;
+        Timer::after(CHECK_INTERVAL).await;
         let names: Vec<SlotId> = control.slots.slots.borrow().keys().cloned().collect();
         for name in names {
-            if should_work(&control, &name) {
-                control.executor.spawn(work(control.clone(), name)).detach();
+            if start_check(&control, &name) {
+                control.executor.spawn(check_slot(control.clone(), name)).detach();
             }
         }
     }
 }
 
-/// Whether something is to be done about a slot now; marks it as busy if so.
-fn should_work(control: &Control, name: &str) -> bool {
+/// Whether a slot is due for a check; marks it as busy if so.
+fn start_check(control: &Control, name: &str) -> bool {
     let now = moment();
     let mut slots = control.slots.slots.borrow_mut();
     let Some(watched) = slots.get_mut(name) else {
@@ -102,14 +102,15 @@
     if watched.busy || slot.is_handing_over() {
         return false;
     }
-    let heir = slot.claims_received_at().is_some_and(|at| now.since(at) < HEIR_PATIENCE);
-    if slot.lease.state() == LeaseState::Idle && !heir {
-        if now.monotonic < watched.look_at {
+    let was_handed_over =
+        slot.claims_received_at().is_some_and(|at| now.since(at) < HAND_OVER_ACQUIRE_TIME);
+    if slot.lease.state() == LeaseState::Idle && !was_handed_over {
+        if now.monotonic < watched.next_check {
             return false;
         }
-        // Ranking all VMs costs time: a slot that is somebody else's is only ranked now and then.
-        watched.look_at = now.monotonic + LONGEST_PAUSE;
-        if !is_wanted(control, name) {
+        // Ranking all VMs costs time, so a slot of another VM is ranked only once per pause.
+        watched.next_check = now.monotonic + MAX_CHECK_PAUSE;
+        if !is_preferred_holder(control, name) {
             return false;
         }
     }
@@ -117,8 +118,8 @@
     true
 }
 
-/// Whether this VM is the first choice for a slot among those that may hold it.
-fn is_wanted(control: &Control, name: &str) -> bool {
+/// Whether this VM ranks first for a slot among the VMs that may hold it.
+fn is_preferred_holder(control: &Control, name: &str) -> bool {
     let membership = control.membership.borrow();
     let own = std::iter::once(control.settings.vm.as_str());
     let members = membership.members().all().filter(|member| member.is_live());
@@ -127,8 +128,8 @@
     rendezvous(name, own.chain(others), 1) == [control.settings.vm.as_str()]
 }
 
-/// One look at a slot: reads its object or renews it, as its lease says.
-async fn work(control: Rc<Control>, name: SlotId) {
+/// Checks one slot: reads its lease object or renews the lease, as the state of the lease requires.
+async fn check_slot(control: Rc<Control>, name: SlotId) {
     let io = LeaseIo::new(&control);
     let key = lease_key(&name);
     let now = moment();
@@ -139,18 +140,18 @@
     let write = if needs_read {
         match io.read(&key).await {
             Ok(read) => {
-                with_lease(&control, &name, |lease| lease.on_read(moment(), read, io.mark()))
+                with_lease(&control, &name, |lease| lease.on_read(moment(), read, io.new_mark()))
             }
             Err(_) => None,
         }
     } else {
-        with_lease(&control, &name, |lease| lease.on_tick(now, io.mark()))
+        with_lease(&control, &name, |lease| lease.on_tick(now, io.new_mark()))
     };
     if let Some(write) = write {
-        let end = io.write(&key, &write).await;
-        with_lease(&control, &name, |lease| lease.on_write_outcome(moment(), end));
+        let outcome = io.write(&key, &write).await;
+        with_lease(&control, &name, |lease| lease.on_write_outcome(moment(), outcome));
     }
-    settle(&control, &name);
+    finish_check(&control, &name);
 }
 
 fn with_lease<T>(control: &Control, name: &str, act: impl FnOnce(&mut Lease) -> T) -> T {
@@ -159,29 +160,33 @@
     act(&mut watched.slot.lease)
 }
 
-/// Ends a look: the claims fit the lease again.
-fn settle(control: &Control, name: &str) {
+/// Ends a check: brings the claims in line with the lease and schedules the next check.
+fn finish_check(control: &Control, name: &str) {
     let mut slots = control.slots.slots.borrow_mut();
     let Some(watched) = slots.get_mut(name) else {
         return;
     };
     watched.busy = false;
-    let pause = (control.settings.once_term / 8).min(LONGEST_PAUSE);
-    watched.look_at = Instant::now() + pause.mul_f64(0.5 + control.chance.fraction());
+    let pause = (control.settings.once_term / 8).min(MAX_CHECK_PAUSE);
+    watched.next_check = Instant::now() + pause.mul_f64(0.5 + control.rng.fraction());
     match watched.slot.sync_claims(moment()) {
-        Some(SlotAcquisition::New) => tracing::info!("control: Slot {name} is held; it is new."),
+        Some(SlotAcquisition::New) => {
+            tracing::info!("control: Slot {name} was acquired; it is new.")
+        }
         Some(SlotAcquisition::HandedOver) => {
-            tracing::info!("control: Slot {name} was handed over.")
+            tracing::info!("control: Slot {name} was acquired by hand-over.")
         }
         Some(SlotAcquisition::TakenOver) => {
-            tracing::warn!("control: Slot {name} was taken over; older keys are refused for now.");
+            tracing::warn!(
+                "control: Slot {name} was taken over after its holder was lost; older keys are refused for now."
+            );
         }
         None => {}
     }
 }
 
-/// Decides a claim at the slot's holder, if this VM is it.
-pub(crate) fn decide(
+/// Decides a claim if this VM holds the slot.
+pub(crate) fn decide_claim(
     control: &Control,
     name: &str,
     uid: RequestUid,
@@ -191,14 +196,20 @@
     let mut slots = control.slots.slots.borrow_mut();
     match slots.get_mut(name) {
         Some(watched) => {
-            watched.slot.claim(moment(), uid, minted_ms, control.chance.number(), retention)
+            watched.slot.claim(moment(), uid, minted_ms, control.rng.number(), retention)
         }
         None => ClaimAnswer::NotHolder,
     }
 }
 
-/// Notes at the slot's holder that a call has ended.
-pub(crate) fn end_here(control: &Control, name: &str, uid: RequestUid, claim: u64, run: RunState) {
+/// Records the end of a call if this VM holds the slot.
+pub(crate) fn record_end(
+    control: &Control,
+    name: &str,
+    uid: RequestUid,
+    claim: u64,
+    run: RunState,
+) {
     if let Some(watched) = control.slots.slots.borrow_mut().get_mut(name) {
         watched.slot.end(uid, claim, run);
     }
@@ -207,22 +218,25 @@
 /// Claims a key for an entry of this VM.
 pub(crate) async fn claim(control: &Control, organisation: &str, text: &str) -> ClaimAnswer {
     let key = CallKey::parse(organisation, text, &control.keys);
-    let here = decide(control, &key.slot, key.uid, key.minted_ms);
-    if here != ClaimAnswer::NotHolder {
-        return here;
+    let local_answer = decide_claim(control, &key.slot, key.uid, key.minted_ms);
+    if local_answer != ClaimAnswer::NotHolder {
+        return local_answer;
     }
-    // The first look may be at a holder that has gone since: then its object is read again.
-    for fresh in [false, true] {
-        let Some(peer) = holder(control, &key.slot, fresh).await else {
+    // The cached holder may be out of date: then the lease object is read again.
+    for reload in [false, true] {
+        let Some(peer) = find_holder(control, &key.slot, reload).await else {
             return ClaimAnswer::Unavailable;
         };
         let request =
             PeerRequest::Claim { slot: key.slot.clone(), uid: key.uid, minted_ms: key.minted_ms };
-        match ask(control, peer, &request, ASK_TIMEOUT).await {
+        match send_request(control, peer, &request, REQUEST_TIMEOUT).await {
             Ok(ClaimAnswer::NotHolder) => {}
             Ok(answer) => return answer,
             Err(error) => {
-                tracing::debug!("control: The holder of {} gave no answer: {error}.", key.slot);
+                tracing::debug!(
+                    "control: The holder of slot {} did not answer a claim: {error}.",
+                    key.slot
+                );
             }
         }
         control.slots.holders.borrow_mut().remove(&key.slot);
@@ -230,8 +244,8 @@
     ClaimAnswer::Unavailable
 }
 
-/// Passes the end of a claimed call on to the slot's holder.
-pub(crate) async fn end(
+/// Reports the end of a claimed call to the slot's holder.
+pub(crate) async fn report_end(
     control: &Control,
     organisation: &str,
     text: &str,
@@ -239,21 +253,21 @@
     run: RunState,
 ) {
     let key = CallKey::parse(organisation, text, &control.keys);
-    end_here(control, &key.slot, key.uid, claim, run);
+    record_end(control, &key.slot, key.uid, claim, run);
     let peer = control.slots.holders.borrow().get(&key.slot).copied();
     if let Some(peer) = peer {
         let request = PeerRequest::ClaimEnded { slot: key.slot, uid: key.uid, claim, run };
-        if let Err(error) = ask::<bool>(control, peer, &request, ASK_TIMEOUT).await {
-            // The holder keeps the claim as running until its retention ends: no key runs twice by it.
-            tracing::info!(%peer, %error, "once: The end of a claim was not told.");
+        if let Err(error) = send_request::<bool>(control, peer, &request, REQUEST_TIMEOUT).await {
+            // The holder keeps the claim as open until its retention ends, so the key still cannot run twice.
+            tracing::info!(%peer, %error, "once: The end of a claim could not be reported.");
         }
     }
 }
 
-/// Where the holder of a slot can be asked.
-async fn holder(control: &Control, name: &str, fresh: bool) -> Option<SocketAddr> {
-    let known = control.slots.holders.borrow().get(name).copied();
-    if let Some(peer) = known.filter(|_| !fresh) {
+/// Peer address of the holder of a slot: the cached one, unless `reload` is set.
+async fn find_holder(control: &Control, name: &str, reload: bool) -> Option<SocketAddr> {
+    let cached = control.slots.holders.borrow().get(name).copied();
+    if let Some(peer) = cached.filter(|_| !reload) {
         return Some(peer);
     }
     let (_, record) = LeaseIo::new(control).read(&lease_key(name)).await.ok()??;
@@ -264,23 +278,28 @@
     Some(record.peer)
 }
 
-/// A new key for callers of this VM's hall.
+/// Mints a new key for callers of this VM's hall.
 pub(crate) fn mint_key(control: &Control) -> String {
-    mint(&control.settings.hall, moment().wall_ms, control.chance.number(), &control.keys[0])
+    mint(&control.settings.hall, moment().wall_ms, control.rng.number(), &control.keys[0])
 }
 
-/// Takes the claims that a leaving holder hands over; the lease is taken when it is free.
-pub(crate) fn inherit(control: &Control, name: String, claims: Vec<Claim>, complete_from_ms: u64) {
+/// Stores the claims that a stopping holder hands over. The lease is acquired once it is free.
+pub(crate) fn receive_claims(
+    control: &Control,
+    name: String,
+    claims: Vec<Claim>,
+    complete_from_ms: u64,
+) {
     if let Some(watched) = control.slots.slots.borrow_mut().get_mut(&name) {
         watched.slot.receive_claims(moment(), claims, complete_from_ms);
-        watched.look_at = Instant::now();
+        watched.next_check = Instant::now();
     }
 }
 
-/// Hands every slot over before a planned stop.
+/// Hands over every held slot before shutdown.
 pub(crate) async fn hand_over_all(control: &Rc<Control>) {
     let names = control.slots.held();
-    let count = names.len();
+    let total = names.len();
     let tasks: Vec<_> = names
         .into_iter()
         .map(|name| {
@@ -289,45 +308,46 @@
             spawner.spawn(async move { hand_over(&control, &name).await })
         })
         .collect();
-    let mut handed = 0;
+    let mut handed_over = 0;
     for task in tasks {
-        handed += usize::from(task.await);
+        handed_over += usize::from(task.await);
     }
-    tracing::info!("control: {handed} of {count} slots are handed over.");
+    tracing::info!("control: {handed_over} of {total} slots were handed over.");
 }
 
+/// Hands over one slot and releases its lease. Returns whether an heir accepted it.
 async fn hand_over(control: &Control, name: &str) -> bool {
-    let Some((claims, complete_from_ms)) = freeze(control, name) else {
+    let Some((claims, complete_from_ms)) = stop_granting(control, name) else {
         return false;
     };
-    let heir = heir(control, name);
-    let mut handed = None;
-    if let Some((vm, peer)) = heir {
+    let chosen = choose_heir(control, name);
+    let mut heir = None;
+    if let Some((vm, peer)) = chosen {
         let request = PeerRequest::HandOver { slot: name.to_owned(), claims, complete_from_ms };
-        if ask::<bool>(control, peer, &request, ASK_TIMEOUT).await.unwrap_or(false) {
-            handed = Some(vm);
+        if send_request::<bool>(control, peer, &request, REQUEST_TIMEOUT).await.unwrap_or(false) {
+            heir = Some(vm);
         }
     }
     let io = LeaseIo::new(control);
-    let done = handed.is_some();
-    let write = with_lease(control, name, |lease| lease.release(moment(), io.mark(), handed));
+    let is_handed_over = heir.is_some();
+    let write = with_lease(control, name, |lease| lease.release(moment(), io.new_mark(), heir));
     if let Some(write) = write {
         io.write(&lease_key(name), &write).await;
-        return done;
+        return is_handed_over;
     }
     false
 }
 
-/// Grants nothing more for a slot; answers its claims.
-fn freeze(control: &Control, name: &str) -> Option<(Vec<Claim>, u64)> {
+/// Stops granting claims for a slot. Returns its claims.
+fn stop_granting(control: &Control, name: &str) -> Option<(Vec<Claim>, u64)> {
     control.slots.slots.borrow_mut().get_mut(name)?.slot.stop_granting()
 }
 
-/// Who gets a slot when this VM leaves.
-fn heir(control: &Control, name: &str) -> Option<(VmId, SocketAddr)> {
+/// Chooses the VM that gets a slot when this VM stops.
+fn choose_heir(control: &Control, name: &str) -> Option<(VmId, SocketAddr)> {
     let membership = control.membership.borrow();
-    let may = |hall: &str| !is_hall_slot(name) || hall == control.settings.hall;
-    let live = membership.members().all().filter(|m| m.is_live() && may(&m.update.hall));
+    let may_hold = |hall: &str| !is_hall_slot(name) || hall == control.settings.hall;
+    let live = membership.members().all().filter(|m| m.is_live() && may_hold(&m.update.hall));
     let names = live.map(|m| m.update.vm.as_str());
     let first = rendezvous(name, names, 1).first().map(|vm| (*vm).to_owned())?;
     let peer = membership.members().get(&first)?.update.peer;
--- a/crates/sillbank_control/src/peers.rs
+++ b/crates/sillbank_control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to this process: entries of the VM and peers; and pulls of settings from peers.
+//! Accepts connections from entries of this VM and from peers, and pulls settings from peers.
 
 use crate::entry_link;
 use crate::requests::{self, Exchange, timed_out};
@@ -14,13 +14,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time a peer has for its first message, and for a whole pull.
+/// Timeout of the first message on a connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a complete pull.
 const PULL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves entries of this VM and peers.
 pub(crate) struct PeersPlugin {
-    /// Where they come.
+    /// Listener of the peer address.
     pub(crate) listener: TcpListener,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// Takes connections for ever.
+/// Accepts connections for as long as the process runs.
 async fn accept(control: Rc<Control>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
@@ -38,11 +39,11 @@
             continue;
         };
         drop(stream.set_nodelay(true));
-        let serving = control.clone();
+        let control_clone = control.clone();
         let serve = async move {
-            if let Err(error) = serve(&serving, stream).await {
+            if let Err(error) = serve(&control_clone, stream).await {
                 if requests::is_refusal(&error) {
-                    serving.metrics.requests_refused.inc();
+                    control_clone.metrics.requests_refused.inc();
                 }
                 tracing::debug!("control: The connection from {from} ended: {error}.");
             }
@@ -51,15 +52,16 @@
     }
 }
 
+/// Reads the first message and serves an entry or a peer.
 async fn serve(control: &Rc<Control>, stream: TcpStream) -> Result<(), FrameError> {
     let mut reader = stream.clone();
     match read_message(&mut reader).or(timed_out(HELLO_TIMEOUT)).await? {
         ToControl::Entry(hello) => entry_link::serve(control, stream, hello).await,
-        ToControl::Peer(request) => requests::answer(control, stream, &request).await,
+        ToControl::Peer(request) => requests::handle(control, stream, &request).await,
     }
 }
 
-/// Pulls what a peer holds after a version, and goes on while more is heard of.
+/// Pulls the objects newer than a version from a peer, and continues as long as the follower names another pull.
 pub(crate) async fn pull(control: Rc<Control>, peer: SocketAddr, after: u64) {
     let mut next = Some(FollowAction::Pull { peer, after });
     while let Some(FollowAction::Pull { peer, after }) = next {
@@ -67,17 +69,17 @@
         let complete = control.store.objects().complete().unwrap_or(0);
         next = control.follower.borrow_mut().on_pull_end(complete);
     }
-    settle_from_peers(&control);
+    update_readiness(&control);
 }
 
 async fn pull_once(control: &Control, peer: SocketAddr, after: u64) {
     match pull_parts(control, peer, after).or(timed_out(PULL_TIMEOUT)).await {
-        Ok(taken) => {
+        Ok(new_objects) => {
             control.metrics.pulls.inc();
-            if taken > 0 {
+            if new_objects > 0 {
                 let version = control.store.objects().complete().unwrap_or(0);
                 tracing::info!(
-                    "control: {taken} objects came from {peer}, up to version {version}."
+                    "control: {new_objects} new objects were pulled from {peer}, up to version {version}."
                 );
             }
         }
@@ -85,32 +87,38 @@
     }
 }
 
+/// Pulls and stores all parts. Returns the number of new objects.
 async fn pull_parts(control: &Control, peer: SocketAddr, after: u64) -> Result<usize, FrameError> {
     let request = PeerRequest::Pull { after };
     let mut exchange = Exchange::start(control, peer, &request).await?;
-    let mut taken = 0;
+    let mut new_objects = 0;
     loop {
         let (part, bytes): (PullPart, usize) = exchange.next().await?;
         control.metrics.pull_bytes.inc_by(bytes as u64);
-        taken += part.objects.into_iter().filter(|o| control.store.take(o.clone())).count();
+        new_objects += part.objects.into_iter().filter(|o| control.store.apply(o.clone())).count();
         if let Some(complete) = part.complete {
             control.store.set_complete(complete);
-            return Ok(taken);
+            return Ok(new_objects);
         }
     }
 }
 
-/// Without the platform's own word, serves once enough VMs were heard and nobody holds more.
-pub(crate) fn settle_from_peers(control: &Control) {
-    let heard = control.heard.borrow();
-    let recent = |at: Instant| at.elapsed() < control.settings.gossip_interval * 30;
+/// Makes the store ready without an answer of the platform, once enough VMs were heard and none has newer settings.
+pub(crate) fn update_readiness(control: &Control) {
+    let summaries = control.peer_summaries.borrow();
+    let is_recent =
+        |received_at: Instant| received_at.elapsed() < control.settings.gossip_interval * 30;
     let view = PeerView {
-        heard: heard.len(),
+        heard: summaries.len(),
         known: control.membership.borrow().members().all().filter(|m| m.is_live()).count(),
-        newest: heard.values().filter(|h| recent(h.at)).map(|h| h.summary.complete).max(),
+        newest: summaries
+            .values()
+            .filter(|s| is_recent(s.received_at))
+            .map(|s| s.summary.complete)
+            .max(),
         complete: control.store.objects().complete(),
     };
     if may_serve(view) {
-        control.store.set_settled();
+        control.store.set_ready();
     }
 }
--- a/crates/sillbank_control/src/platform_client.rs
+++ b/crates/sillbank_control/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's object API.
+//! Client of the platform's object API.
 
 use bytes::Bytes;
 use hyper::header::HeaderValue;
@@ -10,45 +10,45 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for an ordinary call.
+/// Timeout of calls other than full listings.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of the heads of a request and its reply, about.
-const HEAD_BYTES: u64 = 300;
-/// Time for reading everything.
+/// Estimated bytes of the headers of a request and its reply.
+const ESTIMATED_HEADER_BYTES: u64 = 300;
+/// Timeout of listing all settings objects.
 const LIST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Where settings stand among all objects.
+/// Key prefix of settings among all objects.
 pub(crate) const SETTINGS_PREFIX: &str = "settings/";
 
-/// Why the platform gave no usable answer.
+/// Why a call to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PlatformError {
-    /// There was no answer.
+    /// No reply was received.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// It refused.
+    /// The reply has a failure status.
     #[error("the platform answered {0}; the call is made again later")]
     Status(StatusCode),
-    /// The answer is not readable.
+    /// The reply could not be parsed.
     #[error("the platform's answer is not readable ({0}); check its version")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// What the platform answered to a conditional write.
+/// Reply to a conditional write.
 #[derive(Debug)]
-pub(crate) enum WriteAnswer {
-    /// It is written; this is the new state.
+pub(crate) enum WriteReply {
+    /// The write was applied; this is the new object.
     Written(Object),
-    /// The condition did not hold; this is what is there.
+    /// The condition did not hold; this is the current object, if there is one.
     Changed(Option<Object>),
 }
 
-/// Makes calls to the platform.
+/// Client of the platform's object API.
 #[derive(Debug, Clone)]
 pub(crate) struct PlatformClient {
     http: HttpClient,
     address: SocketAddr,
-    /// Bytes to and from the platform, heads estimated.
+    /// Bytes exchanged with the platform; header sizes are estimated.
     pub(crate) bytes: Counter,
 }
 
@@ -57,17 +57,17 @@
         Self { http, address, bytes: Counter::default() }
     }
 
-    /// Every settings object.
+    /// Lists all settings objects.
     pub(crate) async fn list(&self) -> Result<Listing, PlatformError> {
         self.get(&format!("/list?prefix={SETTINGS_PREFIX}"), LIST_TIMEOUT).await
     }
 
-    /// Every object with a prefix.
+    /// Lists all objects with a prefix.
     pub(crate) async fn list_prefix(&self, prefix: &str) -> Result<Listing, PlatformError> {
         self.get(&format!("/list?prefix={prefix}"), CALL_TIMEOUT).await
     }
 
-    /// What changed in settings after a version; waits for a change, at most `wait`.
+    /// Lists settings changed after a version; waits up to `wait` for a change.
     pub(crate) async fn watch(
         &self,
         after: Version,
@@ -78,7 +78,7 @@
         self.get(&path, wait + CALL_TIMEOUT).await
     }
 
-    /// Reads one object, a deleted one too.
+    /// Reads one object; a deleted object is returned too.
     pub(crate) async fn read(&self, key: &str) -> Result<Option<Object>, PlatformError> {
         let call = request(Method::GET, &format!("/objects/{key}"), Bytes::new());
         let reply = self.http.call(self.address, call, CALL_TIMEOUT).await?;
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Writes one object if it is still as expected: at a version, or absent.
+    /// Writes one object if it is at the expected version, or absent for `None`. `None` as value deletes it.
     pub(crate) async fn write(
         &self,
         key: &str,
         expected: Option<Version>,
         value: Option<&str>,
-    ) -> Result<WriteAnswer, PlatformError> {
+    ) -> Result<WriteReply, PlatformError> {
         let method = if value.is_some() { Method::PUT } else { Method::DELETE };
         let body = Bytes::copy_from_slice(value.unwrap_or_default().as_bytes());
         let mut call = request(method, &format!("/objects/{key}"), body);
@@ -105,8 +105,8 @@
         };
         let reply = self.http.call(self.address, call, CALL_TIMEOUT).await?;
         match reply.status {
-            StatusCode::OK => Ok(WriteAnswer::Written(reply.json()?)),
-            StatusCode::PRECONDITION_FAILED => Ok(WriteAnswer::Changed(reply.json()?)),
+            StatusCode::OK => Ok(WriteReply::Written(reply.json()?)),
+            StatusCode::PRECONDITION_FAILED => Ok(WriteReply::Changed(reply.json()?)),
             status => Err(PlatformError::Status(status)),
         }
     }
@@ -114,7 +114,7 @@
     async fn get(&self, path: &str, timeout: Duration) -> Result<Listing, PlatformError> {
         let call = request(Method::GET, path, Bytes::new());
         let reply = self.http.call(self.address, call, timeout).await?;
-        self.bytes.inc_by(HEAD_BYTES + reply.body.len() as u64);
+        self.bytes.inc_by(ESTIMATED_HEADER_BYTES + reply.body.len() as u64);
         if reply.status != StatusCode::OK {
             return Err(PlatformError::Status(reply.status));
         }
@@ -124,7 +124,7 @@
     }
 }
 
-/// Takes the prefix off a key: inside sillbank a settings object goes by its own name.
+/// Removes the settings prefix from a key: inside sillbank settings objects have keys without it.
 pub(crate) fn without_prefix(mut object: Object) -> Object {
     if let Some(key) = object.key.strip_prefix(SETTINGS_PREFIX) {
         object.key = key.to_owned();
--- a/crates/sillbank_control/src/requests.rs
+++ b/crates/sillbank_control/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to and from other control processes, under seal.
+//! Sealed requests to and from other control processes.
 
 use crate::entry_link;
 use crate::once;
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Answers one request of a peer.
-pub(crate) async fn answer(
+/// Handles one request from a peer.
+pub(crate) async fn handle(
     control: &Rc<Control>,
     mut stream: TcpStream,
     sealed: &SealedRequest,
@@ -26,20 +26,21 @@
     match request {
         PeerRequest::Pull { after } => answer_pull(control, stream, key, nonce, after).await,
         PeerRequest::Claim { slot, uid, minted_ms } => {
-            let answer = once::decide(control, &slot, uid, minted_ms);
+            let answer = once::decide_claim(control, &slot, uid, minted_ms);
             reply(&mut stream, key, nonce, &answer).await
         }
         PeerRequest::ClaimEnded { slot, uid, claim, run } => {
-            once::end_here(control, &slot, uid, claim, run);
+            once::record_end(control, &slot, uid, claim, run);
             reply(&mut stream, key, nonce, &true).await
         }
         PeerRequest::HandOver { slot, claims, complete_from_ms } => {
-            once::inherit(control, slot, claims, complete_from_ms);
+            once::receive_claims(control, slot, claims, complete_from_ms);
             reply(&mut stream, key, nonce, &true).await
         }
     }
 }
 
+/// Sends an answer that is a single part.
 async fn reply<T: serde::Serialize>(
     stream: &mut TcpStream,
     key: &SealKey,
@@ -50,6 +51,7 @@
     write_message(stream, &sealed).await
 }
 
+/// Sends the settings objects newer than a version, in parts.
 async fn answer_pull(
     control: &Control,
     mut stream: TcpStream,
@@ -61,7 +63,7 @@
         let store = control.store.objects();
         (store.newer_than(after), store.complete())
     };
-    let parts = entry_link::chunks(objects).into_iter();
+    let parts = entry_link::chunk_objects(objects).into_iter();
     let parts = parts.map(|objects| PullPart { objects, complete: None });
     let last = PullPart { objects: Vec::new(), complete: Some(complete.unwrap_or(0)) };
     for (number, part) in (0..).zip(parts.chain([last])) {
@@ -72,7 +74,7 @@
     Ok(())
 }
 
-/// A request on its way, and how to open its answer.
+/// A request that was sent, and the state for reading its answer.
 pub(crate) struct Exchange<'a> {
     stream: TcpStream,
     key: &'a SealKey,
@@ -90,13 +92,13 @@
         let mut stream = TcpStream::connect(peer).await?;
         drop(stream.set_nodelay(true));
         let key = &control.keys[0];
-        let nonce = control.draw_mark().to_le_bytes();
+        let nonce = control.unique_id().to_le_bytes();
         let sealed = SealedRequest::new(key, nonce, request)?;
         write_message(&mut stream, &ToControl::Peer(sealed)).await?;
         Ok(Self { stream, key, nonce, number: 0 })
     }
 
-    /// Reads the next part of the answer; answers its size, too.
+    /// Reads the next part of the answer. Returns it with its size in bytes.
     pub(crate) async fn next<T>(&mut self) -> Result<(T, usize), FrameError>
     where
         T: for<'b> serde::Deserialize<'b>,
@@ -108,8 +110,8 @@
     }
 }
 
-/// Asks a peer for something with one answer.
-pub(crate) async fn ask<T>(
+/// Sends a request to a peer and reads an answer of a single part.
+pub(crate) async fn send_request<T>(
     control: &Control,
     peer: SocketAddr,
     request: &PeerRequest,
@@ -118,20 +120,20 @@
 where
     T: for<'b> serde::Deserialize<'b>,
 {
-    let asked = async {
+    let exchange = async {
         let mut exchange = Exchange::start(control, peer, request).await?;
         Ok(exchange.next().await?.0)
     };
-    asked.or(timed_out(timeout)).await
+    exchange.or(timed_out(timeout)).await
 }
 
-/// Ends as a time-out after a while.
+/// Fails with a timeout error after the given time.
 pub(crate) async fn timed_out<T>(timeout: Duration) -> Result<T, FrameError> {
     Timer::after(timeout).await;
     Err(FrameError::Io(std::io::ErrorKind::TimedOut.into()))
 }
 
-/// Whether a failure means that the peer refuses this VM's key.
+/// Whether a request failed because of a wrong seal.
 pub(crate) fn is_refusal(error: &FrameError) -> bool {
     matches!(error, FrameError::Decode(DecodeError::Forged))
 }
--- a/crates/sillbank_control/src/state.rs
+++ b/crates/sillbank_control/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of one control process share.
+//! State shared by the parts of one control process.
 
 use crate::platform_client::PlatformClient;
 use crate::store::Store;
@@ -16,14 +16,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What a VM last said of itself.
+/// The last summary received from another VM.
 #[derive(Debug, Clone)]
-pub(crate) struct Heard {
-    pub(crate) at: Instant,
+pub(crate) struct PeerSummary {
+    pub(crate) received_at: Instant,
     pub(crate) summary: Summary,
 }
 
-/// One control process.
+/// State of one control process.
 pub(crate) struct Control {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) settings: ControlSettings,
@@ -32,16 +32,16 @@
     pub(crate) platform: PlatformClient,
     pub(crate) membership: RefCell<Membership>,
     pub(crate) follower: RefCell<Follower>,
-    pub(crate) heard: RefCell<HashMap<VmId, Heard>>,
+    pub(crate) peer_summaries: RefCell<HashMap<VmId, PeerSummary>>,
     pub(crate) in_force: Cell<Version>,
     pub(crate) socket: UdpSocket,
     pub(crate) metrics: crate::metrics::Metrics,
     pub(crate) http: HttpClient,
-    /// Whether this VM holds the lease under which its hall's engines are ordered.
-    pub(crate) gives_orders: Cell<bool>,
+    /// Whether this VM holds the lease for the load orders of its hall.
+    pub(crate) holds_orders_lease: Cell<bool>,
     pub(crate) slots: crate::once::Slots,
-    /// What is decided by chance is drawn here.
-    pub(crate) chance: Chance,
+    /// Source of random numbers.
+    pub(crate) rng: Chance,
 }
 
 impl Control {
@@ -59,9 +59,9 @@
             peer: settings.listen,
             seeds: settings.seeds.clone(),
             interval: settings.gossip_interval,
-            incarnation: since_epoch.map_or(0, |since| since.as_millis() as u64),
+            incarnation: since_epoch.map_or(0, |time| time.as_millis() as u64),
         };
-        let chance = Chance::from_entropy();
+        let rng = Chance::from_entropy();
         let metrics = crate::metrics::Metrics::new();
         let mut platform = PlatformClient::new(client.clone(), settings.platform);
         platform.bytes = metrics.platform_bytes.clone();
@@ -69,27 +69,27 @@
             platform,
             keys: settings.peer_keys.iter().map(|text| SealKey::from_text(text)).collect(),
             store: Store::default(),
-            membership: RefCell::new(Membership::new(config, chance.number())),
+            membership: RefCell::new(Membership::new(config, rng.number())),
             follower: RefCell::default(),
-            heard: RefCell::default(),
+            peer_summaries: RefCell::default(),
             in_force: Cell::new(0),
             metrics,
             http: client,
-            gives_orders: Cell::new(false),
+            holds_orders_lease: Cell::new(false),
             slots: crate::once::Slots::default(),
-            chance,
+            rng,
             executor,
             settings,
             socket,
         })
     }
 
-    /// A number that no other VM draws.
-    pub(crate) fn draw_mark(&self) -> u128 {
-        u128::from(self.chance.number()) << u64::BITS | u128::from(self.chance.number())
+    /// A random number that is unique in the fleet.
+    pub(crate) fn unique_id(&self) -> u128 {
+        u128::from(self.rng.number()) << u64::BITS | u128::from(self.rng.number())
     }
 
-    /// What this VM says of itself.
+    /// The summary that this VM gossips about itself.
     pub(crate) fn summary(&self) -> Summary {
         let age = self.follower.borrow().platform_age(Instant::now());
         let objects = self.store.objects();
--- a/crates/sillbank_control/src/store.rs
+++ b/crates/sillbank_control/src/store.rs
@@ -1,4 +1,4 @@
-//! The settings this process holds, and who waits for new ones.
+//! The settings replica of this process, and its subscribers.
 
 use sillbank_protocol::platform::{Object, Version};
 use sillbank_settings::prelude::*;
@@ -7,70 +7,72 @@
 use smol::channel::{Receiver, Sender};
 use std::cell::{Cell, Ref, RefCell};
 
-/// Objects, the tree made of them, and followers.
+/// Settings objects, the tree built from them, and subscribers to changes.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     objects: RefCell<ObjectStore>,
     tree: RefCell<Tree>,
-    /// Whether enough was heard to serve from it.
-    settled: Cell<bool>,
-    followers: RefCell<Vec<Sender<()>>>,
+    /// Whether entries may be served from this replica.
+    ready: Cell<bool>,
+    subscribers: RefCell<Vec<Sender<()>>>,
 }
 
 impl Store {
-    /// Takes an object unless one as new is held. Returns whether it was taken.
-    pub(crate) fn take(&self, object: Object) -> bool {
+    /// Stores an object unless the same or a newer version is stored. Returns whether it was stored.
+    pub(crate) fn apply(&self, object: Object) -> bool {
         let (key, version, deleted) = (object.key.clone(), object.version, object.deleted);
         let value = object.value.clone();
         if !self.objects.borrow_mut().apply(object) {
             return false;
         }
-        let taken = self.tree.borrow_mut().take(&key, version, deleted, &value);
-        if let Taken::Invalid(problems) = taken {
-            tracing::warn!("control: The last good value stays in force: {problems}.");
+        let outcome = self.tree.borrow_mut().take(&key, version, deleted, &value);
+        if let Taken::Invalid(problems) = outcome {
+            tracing::warn!(
+                "control: An object is invalid, its last valid value stays in force: {problems}."
+            );
         }
         true
     }
 
-    /// Notes that every change up to a version is held, and wakes who follows.
+    /// Records that every change up to a version is stored, and wakes the subscribers.
     pub(crate) fn set_complete(&self, version: Version) {
         self.objects.borrow_mut().set_complete(version);
         self.wake();
     }
 
-    /// Notes that entries may be served from what is held.
-    pub(crate) fn set_settled(&self) {
-        if !self.settled.replace(true) {
+    /// Records that entries may be served from this replica.
+    pub(crate) fn set_ready(&self) {
+        if !self.ready.replace(true) {
             self.wake();
         }
     }
 
-    /// Version up to which entries are served, once enough was heard.
-    pub(crate) fn served(&self) -> Option<Version> {
-        self.objects().complete().filter(|_| self.settled.get())
+    /// Version up to which entries are served; `None` until the replica is ready.
+    pub(crate) fn served_version(&self) -> Option<Version> {
+        self.objects().complete().filter(|_| self.ready.get())
     }
 
-    /// What is held.
+    /// The stored objects.
     pub(crate) fn objects(&self) -> Ref<'_, ObjectStore> {
         self.objects.borrow()
     }
 
-    /// The tree made of the objects.
+    /// The tree built from the objects.
     pub(crate) fn tree(&self) -> Ref<'_, Tree> {
         self.tree.borrow()
     }
 
-    /// A channel that gets a word when something new is held.
-    pub(crate) fn follow(&self) -> Receiver<()> {
+    /// Returns a channel that gets a message when something new is stored.
+    pub(crate) fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = smol::channel::bounded(1);
-        self.followers.borrow_mut().push(sender);
+        self.subscribers.borrow_mut().push(sender);
         receiver
     }
 
     fn wake(&self) {
-        self.followers.borrow_mut().retain(|follower| {
-            follower.try_send(()).ok();
-            !follower.is_closed()
+        self.subscribers.borrow_mut().retain(|subscriber| {
+            subscriber.try_send(()).ok();
+            !subscriber.is_closed()
         });
     }
 }
--- a/crates/sillbank_control/src/write.rs
+++ b/crates/sillbank_control/src/write.rs
@@ -1,8 +1,8 @@
-//! Writes of operators to the platform: conditional, marked, and read back when an answer is
-//! lost.
+//! Operators' writes to the platform. They are conditional, carry a unique mark, and are read back
+//! when a reply is lost.
 
 use crate::platform_client::{
-    PlatformClient, PlatformError, SETTINGS_PREFIX, WriteAnswer, without_prefix,
+    PlatformClient, PlatformError, SETTINGS_PREFIX, WriteReply, without_prefix,
 };
 use sillbank_core::prelude::*;
 use sillbank_net::prelude::*;
@@ -11,50 +11,50 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// Tries at a write whose answers are lost, reading back between them.
-const MAX_TRIES: u32 = 4;
-/// Pause between tries; grows with each.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Maximum attempts at a write whose replies are lost, with a read back after each.
+const MAX_ATTEMPTS: u32 = 4;
+/// Pause before a retry, multiplied by the number of attempts so far.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A write to carry out.
+/// A write to perform.
 #[derive(Debug)]
 pub(crate) struct Write {
     pub(crate) key: String,
-    /// Version that must be there, or `None` for a new object.
+    /// Version that must be the current one, or `None` for a new object.
     pub(crate) expected: Option<Version>,
     /// The object's JSON text with its note, or `None` to delete it.
     pub(crate) value: Option<String>,
-    /// The writer's own mark, which stands in the note.
+    /// Unique mark of this write; the note contains it.
     pub(crate) mark: String,
 }
 
-/// Carries a write out. It never writes blind: each try has the same condition and the same
-/// mark, so at most one of them takes effect.
-pub(crate) async fn carry_out(
+/// Performs a write. Every attempt has the same condition and the same mark, so at most one of
+/// them takes effect.
+pub(crate) async fn execute(
     platform: &PlatformClient,
     write: &Write,
 ) -> Result<Object, AdminFailure> {
     let key = format!("{SETTINGS_PREFIX}{}", write.key);
-    let mut may_have_left = false;
-    for number in 0..MAX_TRIES {
-        if number > 0 {
-            Timer::after(PAUSE * number).await;
+    let mut may_be_applied = false;
+    for attempt in 0..MAX_ATTEMPTS {
+        if attempt > 0 {
+            Timer::after(RETRY_PAUSE * attempt).await;
         }
         match platform.write(&key, write.expected, write.value.as_deref()).await {
-            Ok(WriteAnswer::Written(object)) => return Ok(without_prefix(object)),
-            Ok(WriteAnswer::Changed(here)) => {
-                return judge_change(write, here.map(without_prefix), may_have_left);
+            Ok(WriteReply::Written(object)) => return Ok(without_prefix(object)),
+            Ok(WriteReply::Changed(current)) => {
+                return resolve_conflict(write, current.map(without_prefix), may_be_applied);
             }
             Err(PlatformError::Call(CallError::NotSent { .. }) | PlatformError::Status(_)) => {}
             Err(PlatformError::Call(CallError::Lost { .. }) | PlatformError::Malformed(_)) => {
-                may_have_left = true;
+                may_be_applied = true;
                 if let Some(object) = read_back(platform, &key, write).await {
                     return Ok(object);
                 }
             }
         }
     }
-    Err(match may_have_left {
+    Err(match may_be_applied {
         true => AdminFailure::new(
             AdminFailureKind::WriteUnknown,
             format!("The platform did not answer for {} and could not be read back.", write.key),
@@ -66,16 +66,18 @@
     })
 }
 
-/// What is there is either this write, whose answer was lost, or somebody else's.
-fn judge_change(
+/// Decides whether the object that violated the condition is this write, whose reply was lost, or
+/// another writer's.
+fn resolve_conflict(
     write: &Write,
-    here: Option<Object>,
-    may_have_left: bool,
+    current: Option<Object>,
+    may_be_applied: bool,
 ) -> Result<Object, AdminFailure> {
-    if let Some(object) = here.as_ref().filter(|object| may_have_left && is_own(write, object)) {
+    if let Some(object) = current.as_ref().filter(|object| may_be_applied && is_own(write, object))
+    {
         return Ok(object.clone());
     }
-    let message = match here {
+    let message = match current {
         None => format!("{} is not there any more.", write.key),
         Some(object) if object.deleted => {
             format!("{} was deleted in version {}.", write.key, object.version)
@@ -91,21 +93,22 @@
     Err(AdminFailure::new(AdminFailureKind::Conflict, message))
 }
 
+/// The stored object, if it was written by this write.
 async fn read_back(platform: &PlatformClient, key: &str, write: &Write) -> Option<Object> {
-    let here = platform.read(key).await.ok()??;
-    is_own(write, &here).then(|| without_prefix(here))
+    let current = platform.read(key).await.ok()??;
+    is_own(write, &current).then(|| without_prefix(current))
 }
 
-/// Whether a state is the one this write made. A deletion carries no mark: it is taken for
-/// this writer's own if it follows the version that was to be deleted.
-fn is_own(write: &Write, here: &Object) -> bool {
+/// Whether an object was written by this write. A deletion carries no mark: it counts as this
+/// write's if its version is greater than the version to be deleted.
+fn is_own(write: &Write, current: &Object) -> bool {
     match write.value {
-        Some(_) => !here.deleted && note_of(&here.value).mark == write.mark,
-        None => here.deleted && Some(here.version) > write.expected,
+        Some(_) => !current.deleted && note_of(&current.value).mark == write.mark,
+        None => current.deleted && Some(current.version) > write.expected,
     }
 }
 
-/// The note in an object's text.
+/// The note in an object's JSON text; empty if there is none.
 pub(crate) fn note_of(value: &str) -> WriteNote {
     #[derive(serde::Deserialize)]
     struct Noted {
