--- a/crates/sillbank_standin/src/engine/http.rs
+++ b/crates/sillbank_standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! What an engine serves over HTTP: steps, orders, its state, and what tests ask of it.
+//! HTTP interface of an engine: steps, orders, state, and commands for tests.
 
 use super::{Engine, Faults};
 use bytes::BytesMut;
@@ -13,7 +13,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Serves one engine.
+/// Handles requests to one engine.
 pub(super) struct EngineHandler {
     pub(super) engine: Rc<RefCell<Engine>>,
     pub(super) executor: Rc<LocalExecutor<'static>>,
@@ -57,9 +57,10 @@
 }
 
 impl EngineHandler {
+    /// The current load, after the eviction of idle KV caches.
     fn load(&self) -> EngineLoad {
         let mut engine = self.engine.borrow_mut();
-        engine.forget_old();
+        engine.evict_idle();
         EngineLoad {
             queued: engine.queue.len() as u32,
             held: engine.core.request_count() as u32,
@@ -68,6 +69,7 @@
         }
     }
 
+    /// The tokens of a request, for a VM that resumes it.
     fn stream(&self, path: &str) -> Response<ReplyBody> {
         let uid = RequestUid::parse(path.trim_start_matches(STREAMS_PATH));
         match uid.and_then(|uid| self.engine.borrow().core.stream(&uid)) {
@@ -76,18 +78,20 @@
         }
     }
 
+    /// Handles an order to load layers.
     fn order(&self, body: &[u8]) -> Response<ReplyBody> {
         let order: LoadOrder = match serde_json::from_slice(body) {
             Ok(order) => order,
             Err(error) => return text_reply(StatusCode::BAD_REQUEST, error.to_string()),
         };
         let mut engine = self.engine.borrow_mut();
-        match engine.take_order(&order) {
+        match engine.accept_order(&order) {
             true => json_reply(StatusCode::OK, &engine.state()),
             false => json_reply(StatusCode::CONFLICT, &engine.state()),
         }
     }
 
+    /// Replaces the faults to inject.
     fn set_faults(&self, body: &[u8]) -> Response<ReplyBody> {
         match serde_json::from_slice::<Faults>(body) {
             Ok(faults) => {
@@ -107,6 +111,7 @@
         }
     }
 
+    /// Opens a stream of steps and replies.
     fn start_steps(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         let (outbox, body) = Outbox::new();
         let engine = self.engine.clone();
@@ -116,6 +121,7 @@
     }
 }
 
+/// Reads newline-delimited requests until the stream ends or a line exceeds [`MAX_LINE_BYTES`].
 async fn read_steps(engine: Rc<RefCell<Engine>>, mut body: Incoming, outbox: Outbox) {
     let mut buffer = BytesMut::new();
     while let Some(Ok(frame)) = body.frame().await {
@@ -124,7 +130,7 @@
         }
         while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
             let line = buffer.split_to(end + 1);
-            engine.borrow_mut().take_line(&line[..end], &outbox);
+            engine.borrow_mut().handle_line(&line[..end], &outbox);
         }
         if buffer.len() > MAX_LINE_BYTES {
             break;
--- a/crates/sillbank_standin/src/engine/mod.rs
+++ b/crates/sillbank_standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The model engine: one layer range, continuous batching, a KV cache and a ledger of what ran.
+//! Test double of a model engine: one layer range, continuous batching, a KV cache and a ledger of what ran.
 
 mod http;
 
@@ -53,41 +53,43 @@
     no_ledger: bool,
 }
 
-/// Faults on command.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Faults {
-    /// Layer that is not run.
+    /// Layer to skip.
     skip_layer: Option<u16>,
-    /// Layer that is run twice.
+    /// Layer to run twice.
     repeat_layer: Option<u16>,
     /// Factor on every cost.
     slow_factor: Option<f64>,
-    /// How many next replies are lost after the step ran.
+    /// Number of next replies to lose after the step has run.
     lose_replies: u32,
-    /// How many next replies are sent twice.
+    /// Number of next replies to send twice.
     double_replies: u32,
-    /// Forget every KV cache now.
+    /// Evict every KV cache now.
     forget: bool,
-    /// Take no new request.
+    /// Accept no new requests.
     leaving: bool,
 }
 
-struct Waiting {
+/// A step in the queue, and where its reply goes.
+struct QueuedStep {
     step: Step,
-    arrived: Instant,
+    queued_at: Instant,
     reply_to: Outbox,
 }
 
+/// State of one engine.
 struct Engine {
     cost: KindCost,
     layers: LayerRange,
     cost_factor: f64,
     core: EngineCore,
-    used: HashMap<RequestUid, Instant>,
-    queue: Vec<Waiting>,
-    /// Steps that were left waiting when the last batch was taken.
-    left_waiting: u32,
+    last_used: HashMap<RequestUid, Instant>,
+    queue: Vec<QueuedStep>,
+    /// Steps that remained in the queue when the last batch was formed.
+    left_in_queue: u32,
     faults: Faults,
     steps_run: u64,
     tokens_run: u64,
@@ -95,16 +97,17 @@
     load_time: Duration,
     checks_fences: bool,
     fence: u64,
-    /// Fences of the orders that were taken, in order.
+    /// Fences of the accepted orders, in order of arrival.
     orders: Vec<u64>,
     loading: Option<(LayerRange, Instant)>,
 }
 
-/// Positions of prefill in one batch, unless a single step has more.
-const MAX_PREFILL: usize = 2048;
-/// A request whose KV cache was not used for so long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
+/// Maximum prefill positions in one batch, unless a single step has more.
+const MAX_BATCH_PREFILL_POSITIONS: usize = 2048;
+/// A KV cache that is not used for this long is evicted.
+const KV_CACHE_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
+/// Starts the engine.
 pub(crate) async fn start(
     executor: Rc<LocalExecutor<'static>>,
     arguments: EngineArguments,
@@ -121,9 +124,9 @@
         layers,
         cost_factor: arguments.cost_factor,
         core,
-        used: HashMap::new(),
+        last_used: HashMap::new(),
         queue: Vec::new(),
-        left_waiting: 0,
+        left_in_queue: 0,
         faults: Faults::default(),
         steps_run: 0,
         tokens_run: 0,
@@ -139,6 +142,7 @@
     crate::serve_at(&executor, &arguments.listen, handler).await
 }
 
+/// Runs one batch after another while steps are queued.
 async fn run_batches(engine: Rc<RefCell<Engine>>, woken: Receiver<()>) {
     loop {
         let batch = engine.borrow_mut().take_batch();
@@ -160,30 +164,34 @@
 }
 
 impl Engine {
-    fn take_batch(&mut self) -> Vec<Waiting> {
-        self.queue.sort_by_key(|waiting| std::cmp::Reverse(waiting.step.priority));
+    /// Takes the next batch from the queue, by priority.
+    fn take_batch(&mut self) -> Vec<QueuedStep> {
+        self.queue.sort_by_key(|queued| std::cmp::Reverse(queued.step.priority));
         let count = self.batch_size();
         let batch = self.queue.drain(..count).collect();
-        self.left_waiting = self.queue.len() as u32;
+        self.left_in_queue = self.queue.len() as u32;
         batch
     }
 
-    /// How many waiting steps fit: a batch is bounded in steps and in positions of prefill.
+    /// Number of queued steps for the next batch, which is limited in steps and in prefill positions.
     fn batch_size(&self) -> usize {
         let mut prefill = 0;
-        let waiting = self.queue.iter().take(self.cost.max_batch);
-        let fits = waiting.take_while(|waiting| {
-            let positions = waiting.step.inputs.len();
-            let fits = positions == 1 || prefill == 0 || prefill + positions <= MAX_PREFILL;
+        let queued = self.queue.iter().take(self.cost.max_batch);
+        let batch = queued.take_while(|queued| {
+            let positions = queued.step.inputs.len();
+            let fits = positions == 1
+                || prefill == 0
+                || prefill + positions <= MAX_BATCH_PREFILL_POSITIONS;
             prefill += if positions > 1 { positions } else { 0 };
             fits
         });
-        fits.count()
+        batch.count()
     }
 
-    fn batch_time(&self, batch: &[Waiting]) -> Duration {
-        let size = |w: &Waiting| w.step.inputs.len();
-        let decodes = batch.iter().filter(|w| size(w) == 1).count() as f64;
+    /// Simulated run time of a batch. Costs are defined for 8 layers and scale with the number of layers.
+    fn batch_time(&self, batch: &[QueuedStep]) -> Duration {
+        let size = |queued: &QueuedStep| queued.step.inputs.len();
+        let decodes = batch.iter().filter(|queued| size(queued) == 1).count() as f64;
         let prefill: usize = batch.iter().map(size).filter(|n| *n > 1).sum();
         let us = self.cost.fixed_us
             + self.cost.per_sequence_us * decodes
@@ -193,19 +201,20 @@
         Duration::from_nanos((us * scale * slow * self.cost_factor * 1000.0) as u64)
     }
 
-    fn finish_batch(&mut self, batch: Vec<Waiting>, started: Instant, time: Duration) {
+    /// Runs the steps of a batch and sends their replies.
+    fn finish_batch(&mut self, batch: Vec<QueuedStep>, started: Instant, time: Duration) {
         let size = batch.len() as u32;
-        for waiting in batch {
-            let outcome = self.run_step(&waiting.step);
+        for queued in batch {
+            let outcome = self.run_step(&queued.step);
             let load = EngineLoad {
-                queued: self.left_waiting,
+                queued: self.left_in_queue,
                 held: self.core.request_count() as u32,
-                wait_us: started.duration_since(waiting.arrived).as_micros() as u32,
+                wait_us: started.duration_since(queued.queued_at).as_micros() as u32,
                 run_us: time.as_micros() as u32,
                 batch: size,
                 kv_free_tokens: self.kv_free(),
             };
-            let step = &waiting.step;
+            let step = &queued.step;
             let reply = StepReply {
                 uid: step.uid,
                 attempt: step.attempt,
@@ -213,10 +222,11 @@
                 outcome,
                 load,
             };
-            self.send_reply(&waiting.reply_to, &reply);
+            self.send_reply(&queued.reply_to, &reply);
         }
     }
 
+    /// Sends a reply, unless a fault loses or doubles it.
     fn send_reply(&mut self, reply_to: &Outbox, reply: &StepReply) {
         if self.faults.lose_replies > 0 {
             self.faults.lose_replies -= 1;
@@ -233,6 +243,7 @@
         self.core.kv_free() as u32
     }
 
+    /// Runs one step; refuses it while layers are being loaded.
     fn run_step(&mut self, step: &Step) -> StepOutcome {
         if self.state().loading {
             return StepOutcome::Refused(Refusal::WrongLayers);
@@ -241,13 +252,13 @@
         if let StepOutcome::Done { outputs, .. } = &outcome {
             self.steps_run += 1;
             self.tokens_run += outputs.len() as u64;
-            self.used.insert(step.uid, Instant::now());
+            self.last_used.insert(step.uid, Instant::now());
         }
         outcome
     }
 
-    /// Takes an order, unless it is fenced out.
-    fn take_order(&mut self, order: &LoadOrder) -> bool {
+    /// Accepts an order, unless its fence is older than one seen before.
+    fn accept_order(&mut self, order: &LoadOrder) -> bool {
         if self.checks_fences && order.fence < self.fence {
             return false;
         }
@@ -257,7 +268,7 @@
         true
     }
 
-    /// Ends loading if its time has come; answers what is held.
+    /// Completes loading if its time is over. Returns the current state.
     fn state(&mut self) -> EngineState {
         if let Some((layers, until)) = self.loading
             && Instant::now() >= until
@@ -274,10 +285,11 @@
         }
     }
 
-    fn forget_old(&mut self) {
+    /// Evicts KV caches that have not been used for [`KV_CACHE_IDLE_TIMEOUT`].
+    fn evict_idle(&mut self) {
         let core = &mut self.core;
-        self.used.retain(|uid, used| {
-            let keep = used.elapsed() < FORGET_AFTER;
+        self.last_used.retain(|uid, used_at| {
+            let keep = used_at.elapsed() < KV_CACHE_IDLE_TIMEOUT;
             if !keep {
                 core.evict(uid);
             }
@@ -285,22 +297,25 @@
         });
     }
 
-    fn take_line(&mut self, line: &[u8], reply_to: &Outbox) {
+    /// Handles one line of a connection: a step or a cancellation.
+    fn handle_line(&mut self, line: &[u8], reply_to: &Outbox) {
         match serde_json::from_slice(line) {
             Ok(EngineRequest::Step(step)) => {
-                let waiting = Waiting { step, arrived: Instant::now(), reply_to: reply_to.clone() };
-                self.queue.push(waiting);
+                let queued =
+                    QueuedStep { step, queued_at: Instant::now(), reply_to: reply_to.clone() };
+                self.queue.push(queued);
                 self.wake.try_send(()).ok();
             }
             Ok(EngineRequest::Cancel { uid, attempt }) => {
                 self.core.cancel(uid, attempt);
-                self.used.remove(&uid);
+                self.last_used.remove(&uid);
             }
-            Err(error) => tracing::warn!("standin: A line was not read: {error}."),
+            Err(error) => tracing::warn!("standin: A line could not be parsed: {error}."),
         }
     }
 }
 
+/// Writes a reply as one line of JSON.
 fn write_line(outbox: &Outbox, reply: &StepReply) {
     outbox.write_with(|buffer: &mut BytesMut| {
         use bytes::BufMut;
--- a/crates/sillbank_standin/src/link.rs
+++ b/crates/sillbank_standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A link: relays TCP connections with delay, rate and cuts.
+//! Test double of a network link: relays TCP connections with delay, a rate limit and partitions.
 
 use argh::FromArgs;
 use hyper::body::Incoming;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A relay that delays, slows and cuts.
+/// A TCP relay with delay, rate limit and partitions.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "link")]
 pub(crate) struct LinkArguments {
@@ -30,25 +30,27 @@
     delay_ms: u64,
 }
 
-/// Faults on command.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Faults {
     /// Delay one way, in milliseconds.
     delay_ms: u64,
-    /// Bytes a second in each direction; 0 is no bound.
+    /// Rate limit in bytes per second, for each connection and direction; 0 for none.
     rate_bytes: u64,
-    /// Nothing goes towards the far end.
+    /// Drop all data towards the target.
     cut_forward: bool,
-    /// Nothing comes back.
+    /// Drop all data from the target.
     cut_back: bool,
-    /// End every connection now.
+    /// Close all current connections, each when it next transfers data.
     reset: bool,
 }
 
+/// A relay and its faults.
 #[derive(Default)]
 struct Link {
     faults: RefCell<Faults>,
+    /// Number of resets requested; a connection ends when it has grown.
     resets: Cell<u64>,
 }
 
@@ -58,6 +60,7 @@
     Back,
 }
 
+/// Starts the relay and its admin interface.
 pub(crate) async fn start(
     executor: Rc<LocalExecutor<'static>>,
     arguments: LinkArguments,
@@ -65,11 +68,12 @@
     let link = Rc::new(Link::default());
     link.faults.borrow_mut().delay_ms = arguments.delay_ms;
     let listener = TcpListener::bind(&arguments.listen).await?;
-    let relay = accept(executor.clone(), listener, arguments.to, link.clone());
-    executor.spawn(relay).detach();
+    let accepting = accept(executor.clone(), listener, arguments.to, link.clone());
+    executor.spawn(accepting).detach();
     crate::serve_at(&executor, &arguments.admin_listen, link).await
 }
 
+/// Accepts connections and relays each to the target.
 async fn accept(
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
@@ -78,25 +82,26 @@
 ) {
     while let Ok((near, _)) = listener.accept().await {
         let (to, link, spawner) = (to.clone(), link.clone(), executor.clone());
-        let relay = async move {
+        let connection = async move {
             let Ok(far) = TcpStream::connect(&to).await else {
                 return;
             };
             drop(far.set_nodelay(true));
             drop(near.set_nodelay(true));
-            let forward = pump(near.clone(), far.clone(), link.clone(), Direction::Forward);
+            let forward = relay(near.clone(), far.clone(), link.clone(), Direction::Forward);
             spawner.spawn(forward).detach();
-            pump(far, near, link, Direction::Back).await;
+            relay(far, near, link, Direction::Back).await;
         };
-        executor.spawn(relay).detach();
+        executor.spawn(connection).detach();
     }
 }
 
-async fn pump(mut from: TcpStream, mut to: TcpStream, link: Rc<Link>, direction: Direction) {
-    let resets = link.resets.get();
+/// Copies one direction of a connection until it ends or is reset.
+async fn relay(mut from: TcpStream, mut to: TcpStream, link: Rc<Link>, direction: Direction) {
+    let resets_at_start = link.resets.get();
     let mut buffer = vec![0; 64 << 10];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
-        if link.resets.get() != resets {
+        if link.resets.get() != resets_at_start {
             break;
         }
         let faults = link.faults.borrow().clone();
@@ -107,8 +112,8 @@
         if cut {
             continue;
         }
-        let rate_ms = (count as u64 * 1000).checked_div(faults.rate_bytes).unwrap_or(0);
-        let wait = Duration::from_millis(faults.delay_ms + rate_ms);
+        let transfer_ms = (count as u64 * 1000).checked_div(faults.rate_bytes).unwrap_or(0);
+        let wait = Duration::from_millis(faults.delay_ms + transfer_ms);
         if !wait.is_zero() {
             smol::Timer::after(wait).await;
         }
--- a/crates/sillbank_standin/src/main.rs
+++ b/crates/sillbank_standin/src/main.rs
@@ -1,7 +1,7 @@
-//! `sillbank-standin`: small stand-ins for what sillbank meets outside, with faults on command.
+//! `sillbank-standin`: test doubles of the external systems of sillbank, with fault injection.
 //!
-//! Each has a plain HTTP path `/admin/...` of its own: `GET /admin/ledger` tells what ran,
-//! `POST /admin/faults` with a JSON table makes faults.
+//! Each serves `/admin/...` over HTTP: `GET /admin/ledger` returns what ran, `POST /admin/faults`
+//! with a JSON object sets the faults to inject.
 
 #![forbid(unsafe_code)]
 
@@ -16,7 +16,7 @@
 use smol::net::TcpListener;
 use std::rc::Rc;
 
-/// Stand-ins for the platform, model engines, plain services and links.
+/// Test doubles of the platform, model engines, plain services and network links.
 /// Exit codes: 0 ended by SIGTERM, 1 failed, 2 wrong arguments.
 #[derive(FromArgs)]
 struct Arguments {
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Listens and serves in the background.
+/// Binds an address, prints it and serves requests in the background.
 async fn serve_at<H: Handler>(
     executor: &Rc<LocalExecutor<'static>>,
     listen: &str,
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// Reads a request's whole body.
+/// Reads the complete body of a request; empty if it cannot be read.
 async fn read_body(body: hyper::body::Incoming) -> bytes::Bytes {
     use http_body_util::BodyExt;
     body.collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default()
--- a/crates/sillbank_standin/src/platform.rs
+++ b/crates/sillbank_standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: objects with versions, conditional updates and watches, and a list of VMs.
+//! Test double of the platform: versioned objects with conditional writes and watches, and a list of VMs.
 
 use argh::FromArgs;
 use futures_lite::FutureExt;
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest value of an object.
+/// Maximum size of an object's value.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// The platform's object API and VM list.
@@ -35,18 +35,19 @@
     vm_list_lag_ms: u64,
 }
 
-/// Faults on command.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Faults {
-    /// No call is answered.
+    /// Do not answer any call.
     outage: bool,
-    /// Every answer takes so much longer, in milliseconds.
+    /// Additional delay of every reply, in milliseconds.
     slow_ms: u64,
-    /// How many next writes are applied while their answer is lost.
+    /// Number of next writes that are applied but whose reply is lost.
     lose_write_answers: u32,
 }
 
+/// Numbers of calls, by kind.
 #[derive(Debug, Default, Clone, Serialize)]
 struct Counts {
     reads: u64,
@@ -55,42 +56,48 @@
     refused: u64,
 }
 
-struct Bucket {
-    rate: f64,
-    left: f64,
-    at: Instant,
+/// Token bucket that holds the tokens of at most one second.
+struct TokenBucket {
+    rate_per_s: f64,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl Bucket {
-    fn new(rate: f64) -> Self {
-        Self { rate, left: rate, at: Instant::now() }
+impl TokenBucket {
+    fn new(rate_per_s: f64) -> Self {
+        Self { rate_per_s, tokens: rate_per_s, refilled_at: Instant::now() }
     }
 
-    fn take(&mut self) -> bool {
+    /// Takes a token, if there is one.
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
-        let grown = self.left + self.rate * now.duration_since(self.at).as_secs_f64();
-        self.left = grown.min(self.rate);
-        self.at = now;
-        let any = self.left >= 1.0;
-        if any {
-            self.left -= 1.0;
+        let refilled =
+            self.tokens + self.rate_per_s * now.duration_since(self.refilled_at).as_secs_f64();
+        self.tokens = refilled.min(self.rate_per_s);
+        self.refilled_at = now;
+        let has_token = self.tokens >= 1.0;
+        if has_token {
+            self.tokens -= 1.0;
         }
-        any
+        has_token
     }
 }
 
+/// The platform's objects, VM lists, rate limits and faults.
 struct Platform {
     version: Cell<u64>,
     objects: RefCell<BTreeMap<String, Object>>,
     watchers: RefCell<Vec<Sender<()>>>,
+    /// Published VM lists with their times, oldest first.
     vms: RefCell<Vec<(Instant, Vec<ListedVm>)>>,
     vm_list_lag: Duration,
     counts: RefCell<Counts>,
     faults: RefCell<Faults>,
-    writes: RefCell<Bucket>,
-    reads: RefCell<Bucket>,
+    write_limit: RefCell<TokenBucket>,
+    read_limit: RefCell<TokenBucket>,
 }
 
+/// Starts the platform.
 pub(crate) async fn start(
     executor: Rc<LocalExecutor<'static>>,
     arguments: PlatformArguments,
@@ -103,8 +110,8 @@
         vm_list_lag: Duration::from_millis(arguments.vm_list_lag_ms),
         counts: RefCell::default(),
         faults: RefCell::default(),
-        writes: RefCell::new(Bucket::new(arguments.writes_per_s)),
-        reads: RefCell::new(Bucket::new(arguments.reads_per_s)),
+        write_limit: RefCell::new(TokenBucket::new(arguments.writes_per_s)),
+        read_limit: RefCell::new(TokenBucket::new(arguments.reads_per_s)),
     });
     crate::serve_at(&executor, &arguments.listen, platform).await
 }
@@ -131,35 +138,38 @@
 }
 
 impl Platform {
+    /// Answers a call to the API, within the rate limits.
     async fn answer(&self, path: &str, request: Request<Incoming>) -> Response<ReplyBody> {
-        let write = matches!(*request.method(), Method::PUT | Method::DELETE);
-        let allowed = match write {
-            true => self.writes.borrow_mut().take(),
-            false => self.reads.borrow_mut().take(),
+        let is_write = matches!(*request.method(), Method::PUT | Method::DELETE);
+        let allowed = match is_write {
+            true => self.write_limit.borrow_mut().try_take(),
+            false => self.read_limit.borrow_mut().try_take(),
         };
         if !allowed {
             self.counts.borrow_mut().refused += 1;
             return text_reply(StatusCode::TOO_MANY_REQUESTS, "rate");
         }
-        self.count(path, write);
+        self.count(path, is_write);
         if let Some(key) = path.strip_prefix("/objects/") {
-            return match write {
+            return match is_write {
                 true => self.write(key, request).await,
                 false => self.read(key),
             };
         }
         let query = request.uri().query().unwrap_or_default().to_owned();
         match path {
-            "/list" => json_reply(StatusCode::OK, &self.changed(&query_text(&query, "prefix"), 0)),
+            "/list" => {
+                json_reply(StatusCode::OK, &self.changed_objects(&query_text(&query, "prefix"), 0))
+            }
             "/watch" => json_reply(StatusCode::OK, &self.watch(&query).await),
             "/vms" => json_reply(StatusCode::OK, &self.listed_vms()),
             _ => text_reply(StatusCode::NOT_FOUND, "unknown path"),
         }
     }
 
-    fn count(&self, path: &str, write: bool) {
+    fn count(&self, path: &str, is_write: bool) {
         let mut counts = self.counts.borrow_mut();
-        match (write, path) {
+        match (is_write, path) {
             (true, _) => counts.writes += 1,
             (false, "/watch") => counts.watches += 1,
             (false, _) => counts.reads += 1,
@@ -173,25 +183,26 @@
         }
     }
 
+    /// Writes or deletes an object if its `If-Match` or `If-None-Match` condition holds.
     async fn write(&self, key: &str, request: Request<Incoming>) -> Response<ReplyBody> {
         let header = |name: &str| {
             request.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned)
         };
-        let (if_match, if_none) = (header("if-match"), header("if-none-match"));
+        let (if_match, if_none_match) = (header("if-match"), header("if-none-match"));
         let deleted = request.method() == Method::DELETE;
         let body = crate::read_body(request.into_body()).await;
         if body.len() > MAX_VALUE_BYTES {
             return text_reply(StatusCode::PAYLOAD_TOO_LARGE, "a value is a megabyte at most");
         }
-        let here = self.objects.borrow().get(key).cloned();
-        let live = here.as_ref().filter(|object| !object.deleted);
-        let allowed = match (if_match, if_none) {
+        let current = self.objects.borrow().get(key).cloned();
+        let live = current.as_ref().filter(|object| !object.deleted);
+        let allowed = match (if_match, if_none_match) {
             (Some(version), _) => live.is_some_and(|o| o.version.to_string() == version),
             (None, Some(_)) => live.is_none(),
             (None, None) => return text_reply(StatusCode::PRECONDITION_REQUIRED, "condition"),
         };
         if !allowed {
-            return json_reply(StatusCode::PRECONDITION_FAILED, &here);
+            return json_reply(StatusCode::PRECONDITION_FAILED, &current);
         }
         let object = Object {
             key: key.to_owned(),
@@ -216,29 +227,31 @@
         json_reply(StatusCode::OK, &object)
     }
 
-    fn changed(&self, prefix: &str, after: u64) -> Listing {
+    /// Objects with a prefix that changed after a version, in order of version.
+    fn changed_objects(&self, prefix: &str, after: u64) -> Listing {
         let objects = self.objects.borrow();
-        let wanted = |object: &&Object| object.key.starts_with(prefix) && object.version > after;
-        let mut objects: Vec<Object> = objects.values().filter(wanted).cloned().collect();
+        let is_listed = |object: &&Object| object.key.starts_with(prefix) && object.version > after;
+        let mut objects: Vec<Object> = objects.values().filter(is_listed).cloned().collect();
         objects.sort_by_key(|object| object.version);
         Listing { version: self.version.get(), objects }
     }
 
+    /// Waits until an object has changed, at most `wait_ms`.
     async fn watch(&self, query: &str) -> Listing {
         let prefix = query_text(query, "prefix");
         let after = query_text(query, "after").parse().unwrap_or(0);
         let wait_ms = query_text(query, "wait_ms").parse().unwrap_or(0).min(60_000);
         let deadline = Instant::now() + Duration::from_millis(wait_ms);
         loop {
-            let listing = self.changed(&prefix, after);
-            let left = deadline.saturating_duration_since(Instant::now());
-            if !listing.objects.is_empty() || left.is_zero() {
+            let listing = self.changed_objects(&prefix, after);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !listing.objects.is_empty() || remaining.is_zero() {
                 return listing;
             }
             let (wake, woken) = smol::channel::bounded(1);
             self.watchers.borrow_mut().push(wake);
             let timer = async {
-                smol::Timer::after(left).await;
+                smol::Timer::after(remaining).await;
             };
             async {
                 woken.recv().await.ok();
@@ -248,16 +261,18 @@
         }
     }
 
+    /// The newest VM list that is as old as the configured lag.
     fn listed_vms(&self) -> Vec<ListedVm> {
         let vms = self.vms.borrow();
         let old_enough = |(at, _): &&(Instant, Vec<ListedVm>)| at.elapsed() >= self.vm_list_lag;
         vms.iter().rev().find(old_enough).map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
+    /// Handles a command of a test.
     async fn admin(&self, command: &str, request: Request<Incoming>) -> Response<ReplyBody> {
-        let get = request.method() == Method::GET;
+        let is_get = request.method() == Method::GET;
         let body = crate::read_body(request.into_body()).await;
-        match (get, command) {
+        match (is_get, command) {
             (true, "counts") => json_reply(StatusCode::OK, &*self.counts.borrow()),
             (false, "vms") => match serde_json::from_slice(&body) {
                 Ok(list) => {
@@ -278,6 +293,7 @@
     }
 }
 
+/// The value of a query parameter; empty if it is missing.
 fn query_text(query: &str, name: &str) -> String {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let found = pairs.into_iter().find(|(key, _)| *key == name);
--- a/crates/sillbank_standin/src/service.rs
+++ b/crates/sillbank_standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: runs calls and keeps a ledger of what ran.
+//! Test double of a plain service: runs calls and keeps a ledger of what ran.
 
 use argh::FromArgs;
 use hyper::body::Incoming;
@@ -22,37 +22,39 @@
     run_ms: u64,
 }
 
-/// Faults on command.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Faults {
-    /// How many next answers are lost after the call ran.
+    /// Number of next replies to lose after the call has run.
     lose_answers: u32,
-    /// How many next calls are refused, and not run.
+    /// Number of next calls to refuse without running them.
     refuse: u32,
-    /// Extra time a call runs, in milliseconds.
+    /// Additional run time of a call, in milliseconds.
     slow_ms: u64,
 }
 
-/// What ran.
+/// A call that was run.
 #[derive(Debug, Clone, Serialize)]
 struct LedgerEntry {
     id: String,
     path: String,
 }
 
+/// A plain service and its ledger.
 struct Service {
-    run: Duration,
+    run_time: Duration,
     ledger: RefCell<Vec<LedgerEntry>>,
     faults: RefCell<Faults>,
 }
 
+/// Starts the service.
 pub(crate) async fn start(
     executor: Rc<LocalExecutor<'static>>,
     arguments: ServiceArguments,
 ) -> std::io::Result<()> {
     let service = Rc::new(Service {
-        run: Duration::from_millis(arguments.run_ms),
+        run_time: Duration::from_millis(arguments.run_ms),
         ledger: RefCell::default(),
         faults: RefCell::default(),
     });
@@ -84,16 +86,16 @@
         let header = request.headers().get("x-request-id").and_then(|v| v.to_str().ok());
         let id = header.unwrap_or_default().to_owned();
         let body = crate::read_body(request.into_body()).await;
-        if take_one(&mut self.faults.borrow_mut().refuse) {
+        if take_fault(&mut self.faults.borrow_mut().refuse) {
             let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, "busy");
-            let said = hyper::header::HeaderValue::from_static("not_run");
-            reply.headers_mut().insert("x-run-state", said);
+            let not_run = hyper::header::HeaderValue::from_static("not_run");
+            reply.headers_mut().insert("x-run-state", not_run);
             return reply;
         }
         let slow = Duration::from_millis(self.faults.borrow().slow_ms);
-        smol::Timer::after(self.run + slow).await;
+        smol::Timer::after(self.run_time + slow).await;
         self.ledger.borrow_mut().push(LedgerEntry { id: id.clone(), path: path.clone() });
-        if take_one(&mut self.faults.borrow_mut().lose_answers) {
+        if take_fault(&mut self.faults.borrow_mut().lose_answers) {
             std::future::pending::<()>().await;
         }
         let answer = serde_json::json!({ "done": path, "id": id, "bytes": body.len() });
@@ -101,8 +103,9 @@
     }
 }
 
-fn take_one(left: &mut u32) -> bool {
-    let any = *left > 0;
-    *left = left.saturating_sub(1);
-    any
+/// Decrements a counter of faults. Returns whether a fault is due.
+fn take_fault(remaining: &mut u32) -> bool {
+    let is_due = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    is_due
 }
