--- a/crates/sillbank_control/src/main.rs
+++ b/crates/sillbank_control/src/main.rs
@@ -31,7 +31,7 @@
 const HAND_OVER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// The control process of one VM: settings, membership, health, leases and status.
-/// Exit codes: 0 ended by SIGTERM, 1 failed, 2 wrong arguments or settings.
+/// Exit codes: 0 stopped by SIGTERM, 1 failed, 2 wrong arguments or settings.
 #[derive(FromArgs)]
 struct Arguments {
     /// settings file (TOML); see examples/control.toml
--- a/crates/sillbank_control/src/once.rs
+++ b/crates/sillbank_control/src/once.rs
@@ -32,6 +32,7 @@
 /// A slot, and when it is checked next.
 struct WatchedSlot {
     slot: Slot,
+    /// Whether a check is running.
     busy: bool,
     next_check: Instant,
 }
@@ -154,10 +155,11 @@
     finish_check(&control, &name);
 }
 
-fn with_lease<T>(control: &Control, name: &str, act: impl FnOnce(&mut Lease) -> T) -> T {
+/// Runs a function on the lease of a slot.
+fn with_lease<T>(control: &Control, name: &str, function: impl FnOnce(&mut Lease) -> T) -> T {
     let mut slots = control.slots.slots.borrow_mut();
     let watched = slots.get_mut(name).expect("slots are never removed");
-    act(&mut watched.slot.lease)
+    function(&mut watched.slot.lease)
 }
 
 /// Ends a check: brings the claims in line with the lease and schedules the next check.
@@ -178,7 +180,7 @@
         }
         Some(SlotAcquisition::TakenOver) => {
             tracing::warn!(
-                "control: Slot {name} was taken over after its holder was lost; older keys are refused for now."
+                "control: Slot {name} was taken over without its claims; older keys are refused for now."
             );
         }
         None => {}
@@ -354,6 +356,7 @@
     Some((first, peer))
 }
 
+/// Key of a slot's lease object.
 fn lease_key(name: &str) -> String {
     format!("lease/once-{name}")
 }
--- a/crates/sillbank_entry/src/engine_link.rs
+++ b/crates/sillbank_entry/src/engine_link.rs
@@ -25,7 +25,9 @@
 pub(crate) struct EngineLink {
     outbox: Outbox,
     open: Cell<bool>,
+    /// Steps that were sent and not answered.
     pub(crate) awaited: RefCell<AwaitedSteps<Mailbox>>,
+    /// When data was last received from the endpoint.
     pub(crate) last_received_at: Cell<Instant>,
 }
 
@@ -103,6 +105,7 @@
     entry.links.borrow_mut().remove(&slot);
 }
 
+/// Opens the connection and its stream of steps.
 async fn open(
     entry: &Entry,
     address: SocketAddr,
@@ -168,6 +171,7 @@
     }
 }
 
+/// Passes a reply to the request that waits for it.
 fn handle_reply(entry: &Entry, slot: EndpointSlot, link: &EngineLink, line: &[u8], now: Instant) {
     let reply: StepReply = match serde_json::from_slice(line) {
         Ok(reply) => reply,
--- a/crates/sillbank_entry/src/execution.rs
+++ b/crates/sillbank_entry/src/execution.rs
@@ -37,6 +37,7 @@
     pipeline: PipelineId,
     kv_tokens: u32,
     stages: Vec<ChainLink>,
+    /// Stages without an endpoint, and since when.
     without_endpoint: Vec<(StageIndex, Instant)>,
     mailbox: Mailbox,
     progress: Rc<Progress>,
@@ -136,6 +137,7 @@
         self.progress.record_state(self.generation.state(), tokens);
     }
 
+    /// Performs one action of the generation.
     fn perform(&mut self, action: Action) {
         match action {
             Action::Send(stage, step) => {
@@ -170,6 +172,7 @@
         }
     }
 
+    /// Delivers a token to the caller and records its latency.
     fn emit(&mut self, number: u32, token: TokenId) {
         let now = Instant::now();
         match self.last_token_at.replace(now) {
@@ -186,6 +189,7 @@
         self.sink.token(number, token);
     }
 
+    /// Adds a retry-after time to a failure, unless the request was taken over or its deadline has passed.
     fn with_retry_after(&self, failure: Failure) -> Failure {
         match failure.kind {
             FailureKind::TakenOver | FailureKind::DeadlineExceeded => failure,
@@ -219,8 +223,8 @@
     /// Reserves an endpoint that accepts new work for a stage, preferably not the old one.
     fn reserve_usable_endpoint(&self, stage: StageIndex) -> Option<EndpointSlot> {
         let old = self.stages[stage];
-        let others = [Some(old.endpoint), None];
-        others.into_iter().find_map(|except| {
+        let exclusions = [Some(old.endpoint), None];
+        exclusions.into_iter().find_map(|except| {
             let request = ChainRequest {
                 pipeline: &self.pipeline,
                 layers: old.layers,
--- a/crates/sillbank_entry/src/main.rs
+++ b/crates/sillbank_entry/src/main.rs
@@ -31,8 +31,8 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// The entry process of one VM: callers' HTTP, admission, routing, retries and answers.
-/// Exit codes: 0 stopped by SIGTERM with nothing cut off, 1 failed, 2 wrong arguments or settings.
+/// The entry process of one VM: callers' HTTP interface, admission control, routing, retries and answers.
+/// Exit codes: 0 stopped by SIGTERM without cutting off a request, 1 failed, 2 wrong arguments or settings.
 #[derive(FromArgs)]
 struct Arguments {
     /// settings file (TOML); see examples/entry.toml
--- a/crates/sillbank_entry/src/services.rs
+++ b/crates/sillbank_entry/src/services.rs
@@ -194,6 +194,7 @@
     Err(failure.retry_after(RETRY_AFTER))
 }
 
+/// The request to the service, with the derived request id and the trace.
 fn service_request(context: &CallerContext, call: &ServiceCall) -> hyper::Request<Bytes> {
     let mut request = request(Method::POST, &call.inner, call.body.clone());
     let headers = request.headers_mut();
@@ -205,11 +206,13 @@
     request
 }
 
+/// Whether the service states that it did not run the call.
 fn reports_not_run(answer: &CallReply) -> bool {
     answer.status == StatusCode::SERVICE_UNAVAILABLE
         && answer.headers.get(RUN_STATE_HEADER).is_some_and(|value| value == "not_run")
 }
 
+/// The caller's reply, made from the service's reply.
 fn forward_reply(context: &CallerContext, answer: &CallReply) -> Response<ReplyBody> {
     let mut reply = reply(answer.status, "application/json", answer.body.clone());
     if let Some(content_type) = answer.headers.get("content-type") {
--- a/crates/sillbank_standin/src/engine/mod.rs
+++ b/crates/sillbank_standin/src/engine/mod.rs
@@ -27,7 +27,7 @@
     /// address to listen on
     #[argh(option)]
     listen: String,
-    /// accelerator kind: k1 (quickest) to k5
+    /// accelerator kind: k1 (fastest) to k5
     #[argh(option, default = "String::from(\"k2\")")]
     kind: String,
     /// first layer held
@@ -39,16 +39,16 @@
     /// number of layers of the whole model
     #[argh(option, default = "24")]
     model_layers: u16,
-    /// factor on every cost; 0 answers at once
+    /// factor on all costs; 0 replies immediately
     #[argh(option, default = "1.0")]
     cost_factor: f64,
     /// time that loading layers takes, in milliseconds
     #[argh(option, default = "300")]
     load_ms: u64,
-    /// whether to take orders without checking their fence
+    /// accept orders without checking their fence
     #[argh(switch)]
     no_fence_check: bool,
-    /// whether to keep a ledger
+    /// keep no ledger
     #[argh(switch)]
     no_ledger: bool,
 }
@@ -61,7 +61,7 @@
     skip_layer: Option<u16>,
     /// Layer to run twice.
     repeat_layer: Option<u16>,
-    /// Factor on every cost.
+    /// Factor on all costs.
     slow_factor: Option<f64>,
     /// Number of next replies to lose after the step has run.
     lose_replies: u32,
--- a/crates/sillbank_standin/src/main.rs
+++ b/crates/sillbank_standin/src/main.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 
 /// Test doubles of the platform, model engines, plain services and network links.
-/// Exit codes: 0 ended by SIGTERM, 1 failed, 2 wrong arguments.
+/// Exit codes: 0 stopped by SIGTERM, 1 failed, 2 wrong arguments.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
--- a/crates/sillbank_standin/src/platform.rs
+++ b/crates/sillbank_standin/src/platform.rs
@@ -24,10 +24,10 @@
     /// address to listen on
     #[argh(option)]
     listen: String,
-    /// writes a second
+    /// rate limit of writes, per second
     #[argh(option, default = "300.0")]
     writes_per_s: f64,
-    /// reads a second, watches included
+    /// rate limit of reads, including watches, per second
     #[argh(option, default = "2000.0")]
     reads_per_s: f64,
     /// how far the VM list lags, in milliseconds
