--- a/crates/sillbank_gateway/src/delivery.rs
+++ b/crates/sillbank_gateway/src/delivery.rs
@@ -1,9 +1,9 @@
-//! How a request came along, as its caller saw it, for the line that tells of its end.
+//! Timing of a request's events as its caller saw them, for the log line at its end.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Events of one request as they went to its caller.
+/// Events of one request as sent to its caller.
 #[derive(Debug, Default)]
 pub struct Delivery {
     first: Cell<Option<Duration>>,
@@ -13,10 +13,10 @@
 }
 
 impl Delivery {
-    /// An event went out, of a request that was read at `began`.
-    pub fn on_event(&self, began: Instant, now: Instant) {
+    /// An event of the request was sent to its caller. `received_at` is when the request was received.
+    pub fn on_event(&self, received_at: Instant, now: Instant) {
         match self.last_at.replace(Some(now)) {
-            None => self.first.set(Some(now.saturating_duration_since(began))),
+            None => self.first.set(Some(now.saturating_duration_since(received_at))),
             Some(last) => {
                 let pause = now.saturating_duration_since(last);
                 self.longest_pause.set(self.longest_pause.get().max(pause));
@@ -39,7 +39,7 @@
         self.longest_pause.get()
     }
 
-    /// How often it was moved.
+    /// How often the request was moved.
     pub fn moves(&self) -> u32 {
         self.moves.get()
     }
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -106,7 +106,8 @@
     /// Counts a request that came.
     pub fn count_offered(&self, job: &Job) {
         let mut route_times = self.demand.route_times.borrow_mut();
-        let is_returning = route_times.is_retry(job.began, &job.route.name, job.head.time_left);
+        let is_returning =
+            route_times.is_retry(job.received_at, &job.route.name, job.head.time_left);
         let event = if is_returning { DemandEvent::Retried } else { DemandEvent::Offered };
         self.count_demand(job, event);
     }
@@ -115,7 +116,7 @@
     pub fn on_let_in(&self, job: &Job) {
         let now = Instant::now();
         self.load.on_sent(&job.service.name, true, now);
-        let note = |returns: &mut RetryScheduler| returns.record_admitted(now, job.priority());
+        let note = |returns: &mut RetryScheduler| returns.record_admitted(now, job.rank());
         self.demand.with_returns(&job.service.name, now, note);
         self.count_once(job, DemandEvent::Admitted);
     }
@@ -134,11 +135,8 @@
     /// When the caller of a request that is refused for want of room should come back.
     pub fn come_back(&self, job: &Job) -> Duration {
         let now = Instant::now();
-        let refusal = RefusedRequest {
-            rank: job.priority(),
-            time_left: job.time_left(now),
-            caller: job.caller,
-        };
+        let refusal =
+            RefusedRequest { rank: job.rank(), time_left: job.time_left(now), caller: job.caller };
         self.come_back_after(&job.service.name, refusal, now)
     }
 
@@ -233,7 +231,7 @@
     }
 
     fn count_demand(&self, job: &Job, event: DemandEvent) {
-        let (service, rank) = (&job.service.name, clamp_rank(job.priority()));
+        let (service, rank) = (&job.service.name, clamp_rank(job.rank()));
         if !self.demand.counter.borrow_mut().count(Instant::now(), service, rank, event) {
             return;
         }
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -1,10 +1,10 @@
-//! A request that was admitted, and what is known of its work.
+//! An admitted request, and what is known of its execution.
 
 use crate::delivery::Delivery;
 use crate::endpoints::Share;
-use crate::forecasts::Foretold;
+use crate::forecasts::StreamForecast;
 use crate::paths::PathAsk;
-use crate::wire::{CallerHead, Sending, Wire};
+use crate::wire::{CallerHead, SendContext, Wire};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName};
@@ -22,59 +22,60 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Rank of requests that neither the route nor the organisation ranks: the middle of 0 to 9.
-const USUAL_PRIORITY: u8 = 5;
-/// Least time that is worth sending a request for.
+/// Rank of requests for which neither the route nor the organisation sets one: the middle of 0 to
+/// 9.
+const DEFAULT_RANK: u8 = 5;
+/// Minimum time before the deadline at which a request is still sent.
 pub const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// An admitted request.
 #[derive(Debug)]
 pub struct Job {
-    /// What its head says.
+    /// The parsed head.
     pub head: CallerHead,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, unchanged.
     pub target: Uri,
-    /// Headers without those that concern one connection only.
+    /// Headers, without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What the body takes of the VM's memory.
-    pub kept: KeptShare,
-    /// Route.
+    /// Memory budget taken by the body.
+    pub memory: KeptShare,
+    /// Route that the request matched.
     pub route: Rc<Route>,
-    /// Service that was chosen for it.
+    /// Service chosen by the route.
     pub service: Rc<Service>,
     /// Organisation of the caller, if the route needs a key.
     pub organisation: Option<Rc<Organisation>>,
-    /// When its head was read.
-    pub began: Instant,
-    /// When its caller or the operator wants it ended.
+    /// When the head was read.
+    pub received_at: Instant,
+    /// Earlier of the caller's time limit and the route's.
     pub deadline: Instant,
-    /// What is known of its work.
+    /// What is known of the request's execution.
     pub run: Cell<RunLog>,
-    /// How often it was sent.
+    /// Number of sends so far.
     pub sends: Cell<u32>,
-    /// What its caller saw of it.
+    /// Events as the caller saw them.
     pub delivery: Delivery,
-    /// What its caller was likely to see, by its first send; `None` where that cannot be told.
-    pub foretold: OnceCell<Option<Foretold>>,
-    /// Key and connection that it came with, to tell callers who repeat at once.
+    /// Forecast made at the first send; `None` inside if no forecast was possible.
+    pub forecast: OnceCell<Option<StreamForecast>>,
+    /// Identifies the caller by key and connection, to recognise callers who retry at once.
     pub caller: Option<CallerId>,
-    /// Its fingerprint, once it was asked for.
-    pub known_fingerprint: OnceCell<Fingerprint>,
-    /// Whether it was counted as let in or refused.
+    /// Cache of [`Job::fingerprint`].
+    pub cached_fingerprint: OnceCell<Fingerprint>,
+    /// Whether the request was counted as let in or refused.
     pub is_counted: Cell<bool>,
 }
 
 impl Job {
-    /// Time that is left.
+    /// Time left before the deadline.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// What tells that another try of its caller is the same request.
+    /// Fingerprint by which another try of the same request is recognised.
     pub fn fingerprint(&self) -> Fingerprint {
         let parts = || RequestIdentity {
             host: &self.route.host,
@@ -82,32 +83,32 @@
             organisation: self.organisation.as_ref().map(|o| o.name.as_str()),
             body: &self.body,
         };
-        *self.known_fingerprint.get_or_init(|| parts().fingerprint())
+        *self.cached_fingerprint.get_or_init(|| parts().fingerprint())
     }
 
-    /// Whether it may run more than once.
-    pub fn may_repeat(&self) -> bool {
+    /// Whether the request may run more than once.
+    pub fn is_idempotent(&self) -> bool {
         self.route.kind.idempotency() == Idempotency::Idempotent
     }
 
-    /// Whether it may be sent once more by the route's limit and by the time that is left.
+    /// Whether the route's limit of sends and the time left allow another send.
     pub fn may_send_again(&self, now: Instant) -> bool {
         self.sends.get() < self.route.max_attempts.max(1) && self.time_left(now) >= MIN_TIME_LEFT
     }
 
-    /// What its caller was likely to see, by its first send, if that could be told.
-    pub fn foretold(&self) -> Option<&Foretold> {
-        self.foretold.get()?.as_ref()
+    /// The forecast made at the first send, if one was possible.
+    pub fn forecast(&self) -> Option<&StreamForecast> {
+        self.forecast.get()?.as_ref()
     }
 
-    /// Changes what is known of its work.
-    pub fn note_run(&self, note: impl FnOnce(&mut RunLog)) {
+    /// Updates the log of the request's execution.
+    pub fn update_run(&self, change: impl FnOnce(&mut RunLog)) {
         let mut run = self.run.get();
-        note(&mut run);
+        change(&mut run);
         self.run.set(run);
     }
 
-    /// The request as it goes to an endpoint.
+    /// Builds the request that is sent to an endpoint.
     pub fn request_for<W: Wire>(
         &self,
         endpoint: &str,
@@ -119,43 +120,47 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         let mut headers = self.headers.clone();
-        let sending = Sending {
+        let context = SendContext {
             endpoint,
             time_left: self.time_left(now),
             organisation: self.organisation.as_ref().map(|o| o.name.as_str()),
-            priority: self.priority(),
+            priority: self.rank(),
             path,
             resume_after: resume_after.or(self.head.resume_after),
         };
-        W::prepare_sending(&mut headers, &sending);
+        W::prepare_headers(&mut headers, &context);
         *request.headers_mut() = headers;
         request
     }
 
-    /// What it asks of engines: its size as the caller tells it, or the service's usual size.
+    /// Demand on engines: by the caller's token counts, or by the service's usual sizes if it gave
+    /// none.
     pub fn demand(&self, figures: &EngineFigures) -> RequestSize {
         let usual = RequestSize::usual(figures);
         let Some(tokens) = self.head.tokens else {
             return usual;
         };
-        let most = f64::from(tokens.most_output);
-        let likely = tokens.likely_output.map_or(usual.answer_tokens, f64::from);
-        RequestSize { prompt_tokens: f64::from(tokens.prompt), answer_tokens: likely.min(most) }
+        let max_output = f64::from(tokens.max_output);
+        let expected_output = tokens.expected_output.map_or(usual.answer_tokens, f64::from);
+        RequestSize {
+            prompt_tokens: f64::from(tokens.prompt),
+            answer_tokens: expected_output.min(max_output),
+        }
     }
 
-    /// How urgent it is beside others that ask for the same engines.
-    pub fn urgency(&self) -> Priority {
-        Priority { organisation: self.priority(), route: self.route.priority }
+    /// Urgency, by which admission control ranks requests for the same engines.
+    pub fn priority(&self) -> Priority {
+        Priority { organisation: self.rank(), route: self.route.priority }
     }
 
-    /// Its rank; 0 goes first.
-    pub fn priority(&self) -> u8 {
+    /// Rank of the request; 0 is the most urgent.
+    pub fn rank(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|organisation| organisation.priority);
-        own.unwrap_or(self.route.priority.min(USUAL_PRIORITY))
+        own.unwrap_or(self.route.priority.min(DEFAULT_RANK))
     }
 }
 
-/// Headers that concern one connection only, by RFC 9110, 7.6.1.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -167,8 +172,8 @@
     "upgrade",
 ];
 
-/// Takes out the headers that concern one connection only, those that `Connection` names, and the
-/// length, which is set anew with the body.
+/// Removes hop-by-hop headers, those that `Connection` names, and `Content-Length`, which is set
+/// again with the body.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all("connection")
@@ -186,7 +191,7 @@
     headers.remove("content-length");
 }
 
-/// What a path is chosen for.
+/// Query by which a path for a request is chosen.
 pub fn path_ask<'a>(
     job: &'a Job,
     figures: &'a EngineFigures,
@@ -196,8 +201,8 @@
     PathAsk { service: &job.service, figures, home, avoid, demand: job.demand(figures) }
 }
 
-/// What a request takes of the engines on its path.
-pub fn shares_of(path: &LayerPath, demand: RequestSize) -> Vec<Share> {
+/// Load that a request puts on the engines of its path.
+pub fn engine_shares(path: &LayerPath, demand: RequestSize) -> Vec<Share> {
     let share = |part: &PathPart| Share {
         endpoint: part.endpoint.clone(),
         kv: demand.kv_tokens() * part.layers.len() as f64,
--- /dev/null
+++ b/crates/sillbank_gateway/src/retries.rs
@@ -0,0 +1,70 @@
+//! Decides whether a request is retried after a send that brought no answer.
+
+use crate::gateway::Gateway;
+use crate::job::Job;
+use crate::store::MetadataStore;
+use crate::wire::Wire;
+
+/// Sends of a request that may fail to reach an endpoint before it is given up.
+const MAX_UNREACHED_SENDS: u32 = 3;
+
+/// Sends of a request that may be misdirected before it is given up. The layers of engines are
+/// known again within about 0.5 s, and each such send is taken from the service's retry budget.
+const MAX_MISDIRECTED_SENDS: u32 = 3;
+
+/// What is known of the request's execution after a send that brought no answer for the caller.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SendFailureKind {
+    /// The request reached no endpoint.
+    NotSent,
+    /// The endpoint proved that it did not run the request.
+    NotRun,
+    /// The endpoint proved it, because it is not the addressed one or lacks the requested layers.
+    Misdirected,
+    /// The request may have run.
+    MayHaveRun,
+}
+
+/// Failed sends of one request so far.
+#[derive(Debug, Default)]
+pub struct SendAttempts {
+    unreached: u32,
+    misdirected: u32,
+}
+
+impl SendAttempts {
+    /// Counts a send of the request.
+    pub fn record_send(&self, job: &Job) {
+        job.sends.set(job.sends.get() + 1);
+    }
+
+    /// Whether the request may be sent again; if so, the retry is taken from the budget.
+    pub fn may_retry<W: Wire, S: MetadataStore>(
+        &mut self,
+        gateway: &Gateway<W, S>,
+        job: &Job,
+        kind: SendFailureKind,
+    ) -> bool {
+        if kind != SendFailureKind::NotSent && gateway.held_back(job).is_some() {
+            return false;
+        }
+        match kind {
+            SendFailureKind::NotSent => {
+                // The request reached no endpoint, so another send is no retry.
+                job.sends.set(job.sends.get() - 1);
+                self.unreached += 1;
+                self.unreached < MAX_UNREACHED_SENDS
+            }
+            SendFailureKind::Misdirected => {
+                // The endpoint could not have run the request. If this counted as one of the
+                // route's sends, streams that meet two engines which have restarted, and whose
+                // entries say so only later, would be broken off.
+                job.sends.set(job.sends.get() - 1);
+                self.misdirected += 1;
+                self.misdirected < MAX_MISDIRECTED_SENDS && gateway.may_send_again(job)
+            }
+            SendFailureKind::NotRun => gateway.may_send_again(job),
+            SendFailureKind::MayHaveRun => job.is_idempotent() && gateway.may_send_again(job),
+        }
+    }
+}
