--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::answers::{RETRY_AFTER_AT_LIMIT, RETRY_AFTER_NOT_READY, failure_response};
 use crate::delivery::Delivery;
-use crate::gateway::{FIRST_KNOWLEDGE_WAIT, Gateway, Life};
+use crate::gateway::{Gateway, LifecycleState, STARTUP_WAIT};
 use crate::job::{Job, strip_connection_headers};
 use crate::store::MetadataStore;
 use crate::vm_limits::LimitState;
@@ -94,7 +94,7 @@
 
 impl<W: Wire, S: MetadataStore> CallerHandler<W, S> {
     fn refuse(&self, request_id: &str, failure: &Failure) -> Response<ReplyBody> {
-        let stamp = self.gateway.knowledge.stamp(Instant::now());
+        let stamp = self.gateway.platform.stamp(Instant::now());
         self.gateway.decisions.refused(request_id, failure, stamp);
         let label =
             crate::metrics::OutcomeLabel { outcome: "refused", status: failure.kind.http_status() };
@@ -107,13 +107,13 @@
     /// once, refused callers would all retry together.
     async fn wait_for_startup(&self) {
         let gateway = &self.gateway;
-        let knowledge = &gateway.knowledge;
+        let platform = &gateway.platform;
         let can_serve = || {
-            knowledge.catalog().is_some()
-                && knowledge.knows_endpoints()
-                && gateway.quarantine_is_known.get()
+            platform.catalog().is_some()
+                && platform.knows_endpoints()
+                && gateway.quarantine_is_loaded.get()
         };
-        let remaining = FIRST_KNOWLEDGE_WAIT.saturating_sub(gateway.age(Instant::now()));
+        let remaining = STARTUP_WAIT.saturating_sub(gateway.age(Instant::now()));
         if can_serve() || remaining.is_zero() {
             return;
         }
@@ -122,7 +122,7 @@
         };
         let ready = async {
             while !can_serve() {
-                knowledge.changed().await;
+                platform.changed().await;
             }
         };
         futures_lite::future::or(ready, timeout).await;
@@ -131,13 +131,13 @@
     /// Looks up route, key and service. A VM whose configuration is stale never denies a request;
     /// it answers that it is not ready.
     fn admit(&self, head: &CallerHead, parts: &Parts, now: Instant) -> Result<Admitted, Failure> {
-        if self.gateway.life.get() == Life::Stopping {
+        if self.gateway.lifecycle.get() == LifecycleState::Stopping {
             let failure = Failure::before_work(FailureKind::Stopping, "the VM is stopping");
             return Err(failure.retry_after(RETRY_AFTER_NOT_READY));
         }
-        let knowledge = &self.gateway.knowledge;
-        let catalog = knowledge.catalog().ok_or_else(|| not_ready("no configuration is known"))?;
-        let is_fresh = knowledge.is_fresh(now);
+        let platform = &self.gateway.platform;
+        let catalog = platform.catalog().ok_or_else(|| not_ready("no configuration is known"))?;
+        let is_fresh = platform.is_fresh(now);
         let deny = |kind, reason: &str| match is_fresh {
             true => Failure::before_work(kind, reason),
             false => not_ready("the configuration could not be confirmed for too long"),
@@ -182,7 +182,7 @@
                 let refusal =
                     RefusedRequest { rank: route.priority, time_left: route.timeout, caller: None };
                 let now = Instant::now();
-                failure.retry_after(self.gateway.come_back_after(service, refusal, now))
+                failure.retry_after(self.gateway.retry_after_for(service, refusal, now))
             }
             false => failure.retry_after(RETRY_AFTER_AT_LIMIT),
         }
@@ -267,7 +267,7 @@
             cached_fingerprint: OnceCell::new(),
             is_counted: Cell::new(false),
         });
-        if let Some(failure) = self.gateway.refuse_held_back(&job) {
+        if let Some(failure) = self.gateway.refuse_quarantined(&job) {
             return self.refuse(&job.head.request_id, &failure);
         }
         self.gateway.record_first_send(&job.service.name);
--- a/crates/sillbank_gateway/src/crashes.rs
+++ b/crates/sillbank_gateway/src/crashes.rs
@@ -82,19 +82,19 @@
     job: &Rc<Job>,
     send: BrokenSend,
 ) {
-    let standing = gateway.knowledge.endpoints(|all| all.get(&send.endpoint).map(|e| e.standing));
+    let standing = gateway.platform.endpoints(|all| all.get(&send.endpoint).map(|e| e.standing));
     if !silence_means_loss(standing) {
         return;
     }
     if has_crashed(gateway, &send).await {
-        gateway.on_ended_under(job, &send);
+        gateway.on_endpoint_crash(job, &send);
         return;
     }
     let (recheck_gateway, job) = (gateway.clone(), job.clone());
     let recheck = async move {
         smol::Timer::after(RECHECK_DELAY).await;
         if has_crashed(&recheck_gateway, &send).await {
-            recheck_gateway.on_ended_under(&job, &send);
+            recheck_gateway.on_endpoint_crash(&job, &send);
         }
     };
     gateway.executor.spawn(recheck).detach();
@@ -107,7 +107,7 @@
     let check_lock = crashed.check_lock(endpoint);
     let _guard = check_lock.lock().await;
     if crashed.crashed_since(endpoint, send.sent_at)
-        || gateway.book.renewed_since(endpoint, send.sent_at)
+        || gateway.endpoint_tracker.restarted_since(endpoint, send.sent_at)
     {
         return true;
     }
--- a/crates/sillbank_gateway/src/forecasts.rs
+++ b/crates/sillbank_gateway/src/forecasts.rs
@@ -4,7 +4,7 @@
 use crate::job::Job;
 use crate::mechanisms::Mechanisms;
 use crate::metrics::Metrics;
-use crate::paths::{PathAsk, Views};
+use crate::paths::{PathRequest, RoutingContext};
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -54,13 +54,13 @@
     /// reports or the service's figures do not cover all engines of the path.
     pub fn predict(
         &self,
-        views: Views<'_>,
-        ask: PathAsk<'_>,
+        context: RoutingContext<'_>,
+        ask: PathRequest<'_>,
         path: &LayerPath,
     ) -> Option<StreamForecast> {
-        let (hall, uncorrected) = views.knowledge.endpoints(|directory| {
+        let (hall, uncorrected) = context.platform.endpoints(|directory| {
             let hall = directory.get(&path.first().endpoint)?.hall.clone();
-            let load = |part| reported_load(views, ask.figures, directory, part);
+            let load = |part| reported_load(context, ask.figures, directory, part);
             let loads: Option<Vec<EngineLoad<'_>>> = path.parts().iter().map(load).collect();
             Some((hall, forecast(ask.figures, &loads?, ask.demand)))
         })?;
@@ -69,7 +69,7 @@
             first_event: correction.first_event.apply(uncorrected.first_event),
             pause: correction.pause.apply(uncorrected.pause),
         };
-        Some(StreamForecast { hall, sent_at: views.now, uncorrected, corrected })
+        Some(StreamForecast { hall, sent_at: context.now, uncorrected, corrected })
     }
 
     /// A stream was answered completely: records the forecast's error if the stream ran on the path
@@ -126,14 +126,14 @@
 
 /// Load of one engine of a path as reported by its hall's leader; `None` if unknown.
 fn reported_load<'a>(
-    views: Views<'_>,
+    context: RoutingContext<'_>,
     figures: &'a EngineFigures,
     directory: &Directory,
     part: &PathPart,
 ) -> Option<EngineLoad<'a>> {
     let record = directory.get(&part.endpoint)?;
     let kind = figures.accelerator(record.accelerator.as_deref()?)?;
-    views.hall.boards.engine(&record.hall, &record.id, views.now, |news| EngineLoad {
+    context.hall.reports.engine(&record.hall, &record.id, context.now, |news| EngineLoad {
         kind,
         layers: part.layers.len(),
         running: f64::from(news.state.running),
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -1,9 +1,9 @@
 //! An admitted request, and what is known of its execution.
 
 use crate::delivery::Delivery;
-use crate::endpoints::Share;
+use crate::endpoints::RequestPart;
 use crate::forecasts::StreamForecast;
-use crate::paths::PathAsk;
+use crate::paths::PathRequest;
 use crate::wire::{CallerHead, SendContext, Wire};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -195,15 +195,15 @@
 pub fn path_ask<'a>(
     job: &'a Job,
     figures: &'a EngineFigures,
-    home: &'a str,
+    local_hall: &'a str,
     avoid: &'a [EndpointId],
-) -> PathAsk<'a> {
-    PathAsk { service: &job.service, figures, home, avoid, demand: job.demand(figures) }
+) -> PathRequest<'a> {
+    PathRequest { service: &job.service, figures, local_hall, avoid, demand: job.demand(figures) }
 }
 
 /// Load that a request puts on the engines of its path.
-pub fn engine_shares(path: &LayerPath, demand: RequestSize) -> Vec<Share> {
-    let share = |part: &PathPart| Share {
+pub fn engine_shares(path: &LayerPath, demand: RequestSize) -> Vec<RequestPart> {
+    let share = |part: &PathPart| RequestPart {
         endpoint: part.endpoint.clone(),
         kv: demand.kv_tokens() * part.layers.len() as f64,
     };
--- a/crates/sillbank_gateway/src/probes.rs
+++ b/crates/sillbank_gateway/src/probes.rs
@@ -113,7 +113,8 @@
     let mut probes: Vec<(EndpointId, Probe)> = Vec::new();
     let mut pending = Vec::new();
     for part in path.parts() {
-        if confirmed.contains(&part.endpoint) || gateway.book.answered_since(&part.endpoint, since)
+        if confirmed.contains(&part.endpoint)
+            || gateway.endpoint_tracker.answered_since(&part.endpoint, since)
         {
             probes.push((part.endpoint.clone(), Probe::Answered));
         } else {
@@ -124,7 +125,7 @@
     for (endpoint, call) in pending {
         let probe = call.await;
         if probe == Probe::Answered {
-            gateway.book.on_answer(&endpoint, Instant::now());
+            gateway.endpoint_tracker.on_answer(&endpoint, Instant::now());
         }
         probes.push((endpoint, probe));
     }
@@ -141,10 +142,10 @@
     match gateway.engine_calls.call(address, W::report_call(), PROBE_TIMEOUT).await {
         Ok(reply) => {
             if let Ok(report) = W::read_report(&reply.body) {
-                gateway.hear_life(&endpoint, report.born_ms);
+                gateway.on_reported_incarnation(&endpoint, report.born_ms);
             }
             // An engine that has restarted has lost the stalled request.
-            match gateway.book.renewed_since(&endpoint, began) {
+            match gateway.endpoint_tracker.restarted_since(&endpoint, began) {
                 true => Probe::Refused,
                 false => Probe::Answered,
             }
@@ -161,8 +162,8 @@
 pub async fn probe_ejected<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
         smol::Timer::after(PROBE_INTERVAL).await;
-        for id in gateway.book.due_for_probe(Instant::now()) {
-            let engine = gateway.knowledge.endpoints(|directory| {
+        for id in gateway.endpoint_tracker.due_for_probe(Instant::now()) {
+            let engine = gateway.platform.endpoints(|directory| {
                 directory.get(&id).filter(|record| record.accelerator.is_some()).cloned()
             });
             if let Some(engine) = engine {
--- a/crates/sillbank_gateway/src/retry_budget.rs
+++ b/crates/sillbank_gateway/src/retry_budget.rs
@@ -39,8 +39,8 @@
 
     /// Upper estimate of the number of VMs in the fleet.
     fn fleet_vms(&self, now: Instant) -> u32 {
-        let halls = self.knowledge.halls();
-        self.hall.boards.fleet_vms(&halls, now).unwrap_or(ASSUMED_FLEET_VMS)
+        let halls = self.platform.halls();
+        self.hall.reports.fleet_vms(&halls, now).unwrap_or(ASSUMED_FLEET_VMS)
     }
 
     fn with_budget<T>(
--- a/crates/sillbank_gateway/src/shedding_metrics.rs
+++ b/crates/sillbank_gateway/src/shedding_metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of priority admission: what became of requests by rank, and what this VM decided by.
 
-use crate::load::{Believed, NotLetIn};
+use crate::load::{LoadEstimate, NotAdmitted};
 use crate::metrics::FractionGauge;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -51,19 +51,19 @@
         &self,
         service: &str,
         priority: Priority,
-        result: Result<(), NotLetIn>,
+        result: Result<(), NotAdmitted>,
     ) {
         let end = match result {
             Ok(()) => "let_in",
-            Err(NotLetIn { is_late: false, .. }) => "refused_rank",
-            Err(NotLetIn { is_late: true, .. }) => "refused_late",
+            Err(NotAdmitted { is_late: false, .. }) => "refused_rank",
+            Err(NotAdmitted { is_late: true, .. }) => "refused_late",
         };
         let rank = clamp_rank(priority.organisation);
         self.asked.get_or_create(&AdmissionLabel { service: service.to_owned(), rank, end }).inc();
     }
 
     /// Publishes the estimate that this VM decides by.
-    pub fn set_estimate(&self, service: &str, estimate: Believed) {
+    pub fn set_estimate(&self, service: &str, estimate: LoadEstimate) {
         let label = ServiceLabel { service: service.to_owned() };
         self.fullness.get_or_create(&label).set(estimate.fullness);
         self.share.get_or_create(&label).set(estimate.share);
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 use crate::job::{Job, path_ask};
 use crate::metrics::KindLabel;
-use crate::paths::choose_mended_path;
+use crate::paths::choose_repaired_path;
 use crate::probes::{Diagnosis, Probe, diagnose, probe_path, silence_means_loss};
 use crate::store::MetadataStore;
 use crate::wire::{OrderOutcome, Wire};
@@ -184,8 +184,8 @@
     since: Instant,
 ) -> Vec<EndpointId> {
     let is_lost = |part: &&PathPart| {
-        let (id, book) = (&part.endpoint, &gateway.book);
-        book.ejected_since(id, since) || book.renewed_since(id, since)
+        let (id, book) = (&part.endpoint, &gateway.endpoint_tracker);
+        book.ejected_since(id, since) || book.restarted_since(id, since)
     };
     path.parts().iter().filter(is_lost).map(|part| part.endpoint.clone()).collect()
 }
@@ -256,7 +256,7 @@
     };
     let is_moved = matches!(outcome, OrderOutcome::Started | OrderOutcome::Done);
     gateway.metrics.moves.get_or_create(&KindLabel { kind: outcome.name() }).inc();
-    let stamp = gateway.knowledge.stamp(Instant::now());
+    let stamp = gateway.platform.stamp(Instant::now());
     gateway.decisions.moved(job, &loss.engines, &repaired, outcome, stamp);
     is_moved.then_some(repaired)
 }
@@ -270,11 +270,11 @@
 ) -> Option<LayerPath> {
     let figures = job.service.engine.as_ref()?;
     let local_hall = gateway.settings().hall.clone();
-    let views = gateway.views(Instant::now());
+    let context = gateway.routing_context(Instant::now());
     let ask = path_ask(job, figures, &local_hall, lost);
-    lost.iter().try_fold(path.clone(), |path, lost| choose_mended_path(views, ask, &path, lost))
+    lost.iter().try_fold(path.clone(), |path, lost| choose_repaired_path(context, ask, &path, lost))
 }
 
 fn standing<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, id: &str) -> Option<Standing> {
-    gateway.knowledge.endpoints(|directory| directory.get(id).map(|record| record.standing))
+    gateway.platform.endpoints(|directory| directory.get(id).map(|record| record.standing))
 }
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -85,7 +85,7 @@
         loop {
             let (at_fault, reason) = match self.relay_segment(&mut upstream).await {
                 SegmentEnd::Complete => {
-                    self.gateway.on_ran_well(&self.job);
+                    self.gateway.on_request_survived(&self.job);
                     let Upstream { connection, endpoint, head, .. } = upstream;
                     self.gateway.keep_channel(&endpoint, connection, &head);
                     return (Outcome::Answered, String::new());
@@ -116,7 +116,7 @@
 
     /// Resumes the stream on another path, if that is allowed.
     async fn resume(&self, avoid: Vec<EndpointId>) -> Option<Upstream> {
-        let is_quarantined = self.gateway.held_back(&self.job).is_some();
+        let is_quarantined = self.gateway.quarantined_for(&self.job).is_some();
         if is_quarantined || !self.rules.resumable || !self.gateway.may_send_again(&self.job) {
             return None;
         }
@@ -175,7 +175,7 @@
                 }
                 Some(Ok(frame)) => {
                     if upstream.passes_suspicion_window(now) {
-                        self.gateway.on_ran_well(&self.job);
+                        self.gateway.on_request_survived(&self.job);
                     }
                     if let Some(data) = frame.data_ref()
                         && let Err(reason) = self.relay_bytes(&mut upstream.splitter, data)
