--- a/crates/sillbank_control/src/fleet_status.rs
+++ b/crates/sillbank_control/src/fleet_status.rs
@@ -58,7 +58,7 @@
 async fn run(control: Rc<Control>) {
     let mut written: Option<HallStatus> = None;
     loop {
-        Timer::after(PAUSE.mul_f64(0.9 + 0.2 * control.chance.fraction())).await;
+        Timer::after(PAUSE.mul_f64(0.9 + 0.2 * control.chance.next_f64())).await;
         if !control.membership.borrow().is_chosen("status", 1) {
             written = None;
             continue;
--- a/crates/sillbank_control/src/follow.rs
+++ b/crates/sillbank_control/src/follow.rs
@@ -45,7 +45,7 @@
                 tracing::warn!("control: The platform was not read: {error}.");
                 control.metrics.platform_failures.inc();
                 // Between a half and one and a half of the pause: its return is no stampede.
-                Timer::after(pause.mul_f64(0.5 + control.chance.fraction())).await;
+                Timer::after(pause.mul_f64(0.5 + control.chance.next_f64())).await;
                 pause = (pause * 2).min(BACK_OFF.1);
             }
         }
--- a/crates/sillbank_control/src/gossip.rs
+++ b/crates/sillbank_control/src/gossip.rs
@@ -27,7 +27,7 @@
         let actions = control.membership.borrow_mut().on_tick(Instant::now(), summary);
         carry_out(&control, actions).await;
         // A tenth of jitter keeps VMs that began together from speaking together.
-        let jitter = 0.95 + 0.1 * control.chance.fraction();
+        let jitter = 0.95 + 0.1 * control.chance.next_f64();
         Timer::after(control.settings.gossip_interval.mul_f64(jitter)).await;
     }
 }
--- a/crates/sillbank_control/src/lease_io.rs
+++ b/crates/sillbank_control/src/lease_io.rs
@@ -28,7 +28,7 @@
 
     /// A new mark.
     pub(crate) fn mark(&self) -> u64 {
-        self.control.chance.number()
+        self.control.chance.next_u64()
     }
 
     /// Reads a lease's object.
--- a/crates/sillbank_control/src/once.rs
+++ b/crates/sillbank_control/src/once.rs
@@ -167,7 +167,7 @@
     };
     watched.busy = false;
     let pause = (control.settings.once_term / 8).min(LONGEST_PAUSE);
-    watched.look_at = Instant::now() + pause.mul_f64(0.5 + control.chance.fraction());
+    watched.look_at = Instant::now() + pause.mul_f64(0.5 + control.chance.next_f64());
     match watched.slot.settle(moment()) {
         Some(Tenure::New) => tracing::info!("control: Slot {name} is held; it is new."),
         Some(Tenure::HandedOver) => tracing::info!("control: Slot {name} was handed over."),
@@ -189,7 +189,7 @@
     let mut slots = control.slots.slots.borrow_mut();
     match slots.get_mut(name) {
         Some(watched) => {
-            watched.slot.decide(moment(), uid, minted_ms, control.chance.number(), retention)
+            watched.slot.decide(moment(), uid, minted_ms, control.chance.next_u64(), retention)
         }
         None => ClaimAnswer::NotHolder,
     }
@@ -264,7 +264,7 @@
 
 /// A new key for callers of this VM's hall.
 pub(crate) fn mint_key(control: &Control) -> String {
-    mint(&control.settings.hall, moment().wall_ms, control.chance.number(), &control.keys[0])
+    mint(&control.settings.hall, moment().wall_ms, control.chance.next_u64(), &control.keys[0])
 }
 
 /// Takes the claims that a leaving holder hands over; the lease is taken when it is free.
--- a/crates/sillbank_control/src/state.rs
+++ b/crates/sillbank_control/src/state.rs
@@ -41,7 +41,7 @@
     pub(crate) gives_orders: Cell<bool>,
     pub(crate) slots: crate::once::Slots,
     /// What is decided by chance is drawn here.
-    pub(crate) chance: Chance,
+    pub(crate) chance: SharedRng,
 }
 
 impl Control {
@@ -61,7 +61,7 @@
             interval: settings.gossip_interval,
             incarnation: since_epoch.map_or(0, |since| since.as_millis() as u64),
         };
-        let chance = Chance::from_entropy();
+        let chance = SharedRng::from_entropy();
         let metrics = crate::metrics::Metrics::new();
         let mut platform = PlatformClient::new(client.clone(), settings.platform);
         platform.bytes = metrics.platform_bytes.clone();
@@ -69,7 +69,7 @@
             platform,
             keys: settings.peer_keys.iter().map(|text| SealKey::from_text(text)).collect(),
             store: Store::default(),
-            membership: RefCell::new(Membership::new(config, chance.number())),
+            membership: RefCell::new(Membership::new(config, chance.next_u64())),
             follower: RefCell::default(),
             heard: RefCell::default(),
             in_force: Cell::new(0),
@@ -86,7 +86,7 @@
 
     /// A number that no other VM draws.
     pub(crate) fn draw_mark(&self) -> u128 {
-        u128::from(self.chance.number()) << u64::BITS | u128::from(self.chance.number())
+        u128::from(self.chance.next_u64()) << u64::BITS | u128::from(self.chance.next_u64())
     }
 
     /// What this VM says of itself.
--- a/crates/sillbank_core/src/admin.rs
+++ b/crates/sillbank_core/src/admin.rs
@@ -1,31 +1,31 @@
-//! The failures an operator may be given.
+//! Failures returned to operators by the administration interface.
 
 use serde::{Deserialize, Serialize};
 
-/// Kind of failure of the administration interface. The number is the page in `docs/errors/`.
+/// Kind of administration failure. Each kind has a code and a page in `docs/errors/`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminFailureKind {
-    /// The operator's key is missing or not known.
+    /// The operator's key is missing or unknown.
     UnknownOperator,
-    /// The operator has no right to this part of the tree.
+    /// The operator is not authorised for this part of the settings tree.
     NoRight,
-    /// The object is not valid.
+    /// The object is invalid.
     Invalid,
-    /// The request names no version, or it is not readable.
+    /// The request names no version, or cannot be parsed.
     Malformed,
-    /// Somebody else changed the object first.
+    /// The object has been changed since the version that the request names.
     Conflict,
-    /// There is no such object or path.
+    /// The object or path does not exist.
     NotFound,
-    /// The platform cannot be reached; nothing was written.
+    /// The platform is unreachable; nothing was written.
     PlatformDown,
-    /// The platform's answer was lost and could not be read back.
+    /// The platform's answer to a write was lost, and reading the object back failed.
     WriteUnknown,
 }
 
 impl AdminFailureKind {
-    /// Every kind, in order of its number.
+    /// All kinds, in order of their codes.
     pub const ALL: [Self; 8] = [
         Self::UnknownOperator,
         Self::NoRight,
@@ -37,7 +37,7 @@
         Self::WriteUnknown,
     ];
 
-    /// Number of the page that explains it.
+    /// Code of the failure, which names its page in `docs/errors/`.
     pub fn code(self) -> &'static str {
         match self {
             Self::UnknownOperator => "SB1001",
@@ -51,7 +51,7 @@
         }
     }
 
-    /// HTTP status that goes with it.
+    /// HTTP status of the response.
     pub fn http_status(self) -> u16 {
         match self {
             Self::UnknownOperator => 401,
@@ -84,22 +84,22 @@
     }
 }
 
-/// A failure as an operator gets it.
+/// A failure as returned to an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{code} {message} {remedy}")]
 pub struct AdminFailure {
-    /// Kind.
+    /// Kind of failure.
     pub kind: AdminFailureKind,
-    /// Number of the page that explains it.
+    /// Code of the failure, which names its page in `docs/errors/`.
     pub code: String,
-    /// One sentence on what happened.
+    /// What happened, in one sentence.
     pub message: String,
-    /// What to do.
+    /// What the operator can do about it.
     pub remedy: String,
 }
 
 impl AdminFailure {
-    /// A failure with its number and remedy.
+    /// Creates a failure with the code and remedy of its kind.
     pub fn new(kind: AdminFailureKind, message: impl Into<String>) -> Self {
         Self {
             kind,
--- a/crates/sillbank_core/src/failure.rs
+++ b/crates/sillbank_core/src/failure.rs
@@ -1,57 +1,57 @@
-//! The failures a caller may be given, each with a number, a reason and a remedy.
+//! Failures returned to callers, each with a code, a reason and a remedy.
 
 use crate::run::RunState;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Kind of failure. The number is the page in `docs/errors/`.
+/// Kind of failure. Each kind has a code and a page in `docs/errors/`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureKind {
-    /// The body is not what the interface takes.
+    /// The request body is invalid.
     MalformedBody,
-    /// The body or a header is longer than allowed.
+    /// The body or a header exceeds its size limit.
     TooLarge,
-    /// The key is missing or not known.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// The pipeline or service is not known to this organisation.
+    /// The organisation has no pipeline or service of this name.
     UnknownTarget,
-    /// The path or method is not known.
+    /// The path or method is unknown.
     UnknownRoute,
-    /// No chain of endpoints covers the model.
+    /// No chain of endpoints covers all layers of the model.
     NoChain,
-    /// There is no room to end the request in time.
+    /// There is not enough capacity to complete the request in time.
     Overloaded,
-    /// The deadline passed.
+    /// The deadline of the request passed.
     DeadlineExceeded,
     /// Endpoints were lost more often than the retry budget allows.
     EndpointsLost,
-    /// A service did not answer, or its answer was lost.
+    /// A service did not answer, or its answer was lost on the way.
     ServiceLost,
-    /// The key of a call not to be repeated was used before.
+    /// The idempotency key of an at-most-once call was used before.
     AlreadyClaimed,
-    /// It cannot be known whether the key of a call not to be repeated was used before.
+    /// It cannot be determined whether the key of an at-most-once call was used before.
     ClaimUnknown,
-    /// Whether the key is new cannot be asked now; the call was not run.
+    /// The key of an at-most-once call cannot be checked now; the call was not run.
     ClaimUnavailable,
     /// The VM is stopping.
     Stopping,
     /// The VM has no settings yet.
     NotReady,
-    /// The caller stopped reading.
+    /// The caller stopped reading the answer.
     CallerStalled,
-    /// A half-sent request reached its time limit.
+    /// The request was not received completely within its time limit.
     RequestTimeout,
-    /// The caller came back to another VM, which goes on with the request.
+    /// The caller resumed the request at another VM, which continues it.
     TakenOver,
-    /// The VM is at a limit of its own and takes no more for now.
+    /// The VM has reached one of its own resource limits and accepts no more requests for now.
     VmAtLimit,
-    /// Endpoints ended under this request again and again; it is held back.
+    /// Endpoints crashed repeatedly while running this request, so it is quarantined.
     Quarantined,
 }
 
 impl FailureKind {
-    /// Every kind, in order of its number.
+    /// All kinds.
     pub const ALL: [Self; 20] = [
         Self::MalformedBody,
         Self::TooLarge,
@@ -75,7 +75,7 @@
         Self::Quarantined,
     ];
 
-    /// Number of the page that explains it.
+    /// Code of the failure, which names its page in `docs/errors/`.
     pub fn code(self) -> &'static str {
         match self {
             Self::MalformedBody => "SB0001",
@@ -101,7 +101,7 @@
         }
     }
 
-    /// HTTP status that goes with it.
+    /// HTTP status of the response.
     pub fn http_status(self) -> u16 {
         match self {
             Self::MalformedBody => 400,
@@ -149,32 +149,32 @@
     }
 }
 
-/// A failure as a caller gets it.
+/// A failure as returned to a caller.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {reason} {}", kind.code(), kind.remedy())]
 pub struct Failure {
-    /// Kind, with number and remedy.
+    /// Kind, which determines code, status and remedy.
     pub kind: FailureKind,
-    /// What is known of the work.
+    /// Whether the work was run, as far as is known.
     pub run: RunState,
-    /// One sentence on what happened.
+    /// What happened, in one sentence.
     pub reason: String,
-    /// When coming back may help.
+    /// After what time a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure found before any work left this process.
+    /// Creates a failure that occurred before any work was sent from this process.
     pub fn before_work(kind: FailureKind, reason: impl Into<String>) -> Self {
         Self::new(kind, RunState::NotRun, reason)
     }
 
-    /// A failure with a stated run state.
+    /// Creates a failure with the given run state.
     pub fn new(kind: FailureKind, run: RunState, reason: impl Into<String>) -> Self {
         Self { kind, run, reason: reason.into(), retry_after: None }
     }
 
-    /// The same failure with a time to come back.
+    /// Sets the time after which a retry may succeed.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
--- a/crates/sillbank_core/src/hash.rs
+++ b/crates/sillbank_core/src/hash.rs
@@ -1,26 +1,26 @@
-//! Hashes of texts, for keys and for choices that every VM makes alike.
+//! Hashes for keys and for choices on which all VMs agree without communication.
 
-/// Hash of some texts, as 64 hexadecimal digits. Each text's length is part of it.
+/// Hashes strings into 64 hexadecimal digits. The length of each string is included in the hash.
 pub fn hash_hex(parts: &[&str]) -> String {
     digest(parts).to_hex().to_string()
 }
 
-/// Hash of some texts, as a number.
+/// Hashes strings into a `u64`. The length of each string is included in the hash.
 pub fn hash_u64(parts: &[&str]) -> u64 {
     let digest = digest(parts);
     digest.as_bytes()[..8].iter().fold(0, |sum, byte| (sum << 8) | u64::from(*byte))
 }
 
-/// Hash of some byte strings, as a number of 128 bits. Each one's length is part of it.
+/// Hashes byte strings into a `u128`. The length of each one is included in the hash.
 pub fn hash_u128(parts: &[&[u8]]) -> u128 {
     let digest = digest(parts);
     digest.as_bytes()[..16].iter().fold(0, |sum, byte| (sum << 8) | u128::from(*byte))
 }
 
-/// The `count` members that come first for a name by rendezvous hashing, best first.
+/// Returns the `count` members that rank highest for a name by rendezvous hashing, best first.
 ///
-/// Every VM that knows the same members chooses the same; when a member goes, only its own
-/// choices move.
+/// All VMs that know the same members choose the same ones. When a member is removed, only the names that had
+/// chosen it are reassigned.
 ///
 /// ```
 /// use sillbank_core::hash::rendezvous;
--- a/crates/sillbank_core/src/ids.rs
+++ b/crates/sillbank_core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Type aliases and small value types that name things.
+//! Identifiers and other small value types.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,46 +6,47 @@
 pub type VmId = String;
 /// Name of a data hall.
 pub type HallId = String;
-/// Name of an organisation (the brief's word for a customer).
+/// Name of an organisation, which is a customer of the fleet.
 pub type OrganisationId = String;
-/// Name of an endpoint (the brief's word for a back end).
+/// Name of an endpoint, which is a back end that runs requests.
 pub type EndpointId = String;
 /// Name of a pipeline.
 pub type PipelineId = String;
-/// Name of a plain service.
+/// Name of a service.
 pub type ServiceId = String;
-/// Name of an accelerator kind, as the settings give it.
+/// Name of an accelerator kind, as in the settings.
 pub type AcceleratorKind = String;
-/// Number of one try at a request; a greater one fences out a smaller one.
+/// Number of an attempt to run a request, used as a fencing token: a greater one fences out a smaller one.
 ///
-/// The upper bits count, the lower [`ATTEMPT_DRAW_BITS`] are drawn by the entry that began, so two
-/// entries that raise the same request at once do not use the same number.
+/// The upper bits count attempts. The lower [`ATTEMPT_RANDOM_BITS`] are drawn at random by the entry that
+/// started the request, so that two entries that increment the attempt of the same request at once do not use
+/// the same number.
 pub type Attempt = u64;
-/// Bits of an [`Attempt`] that are drawn.
-pub const ATTEMPT_DRAW_BITS: u32 = 22;
-/// Which of several tries at one request: its id and the draw of the entry that drives it, which
-/// raising the attempt does not change.
-pub type DriveId = (RequestUid, u64);
+/// Number of random bits in an [`Attempt`].
+pub const ATTEMPT_RANDOM_BITS: u32 = 22;
+/// Execution of a request by one entry: the request's id and the random bits of its attempts, which stay the
+/// same when the attempt is incremented.
+pub type ExecutionId = (RequestUid, u64);
 
-/// The drive that an attempt of a request belongs to.
-pub fn drive_id(uid: RequestUid, attempt: Attempt) -> DriveId {
-    (uid, attempt % ATTEMPT_RAISE)
+/// Returns the execution that an attempt of a request belongs to.
+pub fn execution_id(uid: RequestUid, attempt: Attempt) -> ExecutionId {
+    (uid, attempt % ATTEMPT_INCREMENT)
 }
 
-/// What is added to an [`Attempt`] to raise it.
-pub const ATTEMPT_RAISE: Attempt = 1 << ATTEMPT_DRAW_BITS;
-/// Place of a token in a sequence, prompt included, from 0.
+/// Difference between consecutive attempts of one execution.
+pub const ATTEMPT_INCREMENT: Attempt = 1 << ATTEMPT_RANDOM_BITS;
+/// Index of a token in a sequence, counted from the start of the prompt.
 pub type Position = u32;
 /// Identifier of a token in a model's vocabulary.
 pub type TokenId = u32;
 
-/// Identifier of a request inside the fleet: a 128-bit hash of organisation and caller's id.
+/// Identifier of a request in the fleet: a 128-bit hash of the organisation and the caller's request id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestUid(pub u64, pub u64);
 
 impl RequestUid {
-    /// Derives the identifier, so that every VM gives the same request the same one and two
-    /// organisations that chose the same id never meet.
+    /// Derives the identifier. Every VM derives the same one for a request; requests of two organisations that
+    /// use the same id get different ones.
     ///
     /// ```
     /// use sillbank_core::ids::RequestUid;
@@ -62,14 +63,14 @@
         Self(read_u64(&bytes[..8]), read_u64(&bytes[8..16]))
     }
 
-    /// Reads what [`std::fmt::Display`] wrote.
+    /// Parses the output of the [`std::fmt::Display`] implementation.
     pub fn parse(text: &str) -> Option<Self> {
         let (first, second) = text.split_at_checked(16).filter(|(_, rest)| rest.len() == 16)?;
         let half = |text| u64::from_str_radix(text, 16).ok();
         Some(Self(half(first)?, half(second)?))
     }
 
-    /// A 64-bit seed for sampling, the same on every VM.
+    /// Returns a seed for sampling, the same on every VM.
     pub fn seed(&self) -> u64 {
         self.0 ^ self.1.rotate_left(17)
     }
@@ -88,19 +89,19 @@
 /// Half-open range of model layers, `first..end`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LayerRange {
-    /// First layer held.
+    /// First layer of the range.
     pub first: u16,
-    /// One past the last layer held.
+    /// One past the last layer of the range.
     pub end: u16,
 }
 
 impl LayerRange {
-    /// Number of layers in the range.
+    /// Number of layers.
     pub fn len(&self) -> usize {
         usize::from(self.end.saturating_sub(self.first))
     }
 
-    /// Whether the range holds no layer.
+    /// Whether the range contains no layer.
     pub fn is_empty(&self) -> bool {
         self.end <= self.first
     }
--- a/crates/sillbank_core/src/run.rs
+++ b/crates/sillbank_core/src/run.rs
@@ -1,12 +1,12 @@
-//! What is known about whether a request was run.
+//! Whether a request was run, as far as is known.
 
 use serde::{Deserialize, Serialize};
 
-/// What a failure may say about the work behind it.
+/// Whether the work of a failed request was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// The work was not run; a repeat is safe.
+    /// The work was not run; a retry is safe.
     NotRun,
     /// The work may have run.
     Unknown,
@@ -14,24 +14,24 @@
     Ran,
 }
 
-/// Evidence that a request was not run. [`RunState::NotRun`] is only ever reported through one.
+/// Evidence that a request was not run. [`RunState::NotRun`] is reported only on such evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunEvidence {
-    /// No byte of the work left for any endpoint.
-    NothingLeft,
-    /// The endpoint itself answered that it ran nothing.
-    EndpointSaidSo,
+    /// Nothing was sent to any endpoint.
+    NothingSent,
+    /// Each endpoint that was sent work answered that it did not run it.
+    RefusedByEndpoint,
 }
 
-/// Follows one request's work as it leaves and comes back, and says what may be claimed of it.
+/// Records the sends and answers of one request and derives its [`RunState`].
 ///
 /// ```
 /// use sillbank_core::run::{RunLog, RunState};
 /// let mut log = RunLog::default();
 /// assert_eq!(log.state(), RunState::NotRun);
-/// log.sent();
+/// log.record_sent();
 /// assert_eq!(log.state(), RunState::Unknown);
-/// log.refused();
+/// log.record_refused();
 /// assert_eq!(log.state(), RunState::NotRun);
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -42,18 +42,18 @@
 }
 
 impl RunLog {
-    /// Notes that work was handed to a connection.
-    pub fn sent(&mut self) {
+    /// Records that work was handed to a connection.
+    pub fn record_sent(&mut self) {
         self.sent += 1;
     }
 
-    /// Notes that an endpoint refused one piece of sent work without running it.
-    pub fn refused(&mut self) {
+    /// Records that an endpoint refused one piece of sent work without running it.
+    pub fn record_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// Notes that an endpoint answered that it ran the work.
-    pub fn ran(&mut self) {
+    /// Records that an endpoint answered that it ran the work.
+    pub fn record_ran(&mut self) {
         self.ran = true;
     }
 
@@ -62,16 +62,16 @@
         self.ran
     }
 
-    /// The evidence that nothing ran, if there is any.
+    /// Returns the evidence that nothing ran, if there is any.
     pub fn not_run_evidence(&self) -> Option<NotRunEvidence> {
         match (self.ran, self.sent, self.refused) {
-            (false, 0, _) => Some(NotRunEvidence::NothingLeft),
-            (false, sent, refused) if sent == refused => Some(NotRunEvidence::EndpointSaidSo),
+            (false, 0, _) => Some(NotRunEvidence::NothingSent),
+            (false, sent, refused) if sent == refused => Some(NotRunEvidence::RefusedByEndpoint),
             _ => None,
         }
     }
 
-    /// What may be told to the caller.
+    /// The run state to report to the caller.
     pub fn state(&self) -> RunState {
         match self.not_run_evidence() {
             Some(_) => RunState::NotRun,
--- a/crates/sillbank_core/src/suspension.rs
+++ b/crates/sillbank_core/src/suspension.rs
@@ -1,49 +1,49 @@
-//! How long a machine was suspended, by two of its clocks.
+//! Detection of machine suspensions by comparing two clocks.
 //!
-//! The steady clock does not count a suspension, so what was confirmed before it looks as fresh afterwards as it
-//! was. The clock that counts from the machine's start does.
+//! The monotonic clock stops during a suspension, so data confirmed before it seems as fresh afterwards as it
+//! was before. The boot clock keeps counting; the difference of the two is the time spent suspended.
 
 use std::time::Duration;
 
-/// Shortest suspension that is told. Shorter ones make knowledge no older than a late timer does.
-const SHORTEST: Duration = Duration::from_millis(50);
+/// Shortest suspension that is reported. A shorter one adds no more staleness than a late timer does.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Both clocks, read one after the other: first the one that counts suspensions. A pause between the two makes a
-/// suspension look shorter, never longer.
+/// Both clocks, read one after the other, the boot clock first. A pause between the two reads makes a suspension
+/// look shorter, never longer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockReading {
-    /// Time since the machine's start, with suspensions.
-    pub since_start: Duration,
-    /// The steady clock.
-    pub steady: Duration,
+    /// Time since boot, including suspensions.
+    pub boottime: Duration,
+    /// Time since boot, excluding suspensions.
+    pub monotonic: Duration,
 }
 
 impl ClockReading {
     fn suspended(&self) -> Duration {
-        self.since_start.saturating_sub(self.steady)
+        self.boottime.saturating_sub(self.monotonic)
     }
 }
 
-/// Tells of suspensions, each once.
+/// Reports each suspension of the machine once.
 #[derive(Debug)]
-pub struct SuspensionWatch {
-    /// Time that the machine had been suspended when that was last told.
-    told: Duration,
+pub struct SuspensionDetector {
+    /// Total suspended time when a suspension was last reported.
+    reported: Duration,
 }
 
-impl SuspensionWatch {
-    /// Tells of suspensions after a reading.
+impl SuspensionDetector {
+    /// Creates a detector that reports suspensions after this reading.
     pub fn new(first: ClockReading) -> Self {
-        Self { told: first.suspended() }
+        Self { reported: first.suspended() }
     }
 
-    /// For how long the machine was suspended since the last reading, if it was.
+    /// Returns for how long the machine was suspended since the last reported suspension, if it was.
     pub fn on_reading(&mut self, reading: ClockReading) -> Option<Duration> {
-        let more = reading.suspended().checked_sub(self.told)?;
-        if more < SHORTEST {
+        let more = reading.suspended().checked_sub(self.reported)?;
+        if more < MIN_SUSPENSION {
             return None;
         }
-        self.told = reading.suspended();
+        self.reported = reading.suspended();
         Some(more)
     }
 }
--- a/crates/sillbank_core/tests/suspension.rs
+++ b/crates/sillbank_core/tests/suspension.rs
@@ -1,19 +1,20 @@
-//! A suspension is told from two clocks, once, and never where there was none.
+//! Suspensions are detected from two clocks, reported once, and never reported without cause.
 
-use sillbank_core::suspension::{ClockReading, SuspensionWatch};
+use sillbank_core::suspension::{ClockReading, SuspensionDetector};
 use std::time::Duration;
 
-fn reading(since_start_ms: u64, steady_ms: u64) -> ClockReading {
+fn reading(boottime_ms: u64, monotonic_ms: u64) -> ClockReading {
     ClockReading {
-        since_start: Duration::from_millis(since_start_ms),
-        steady: Duration::from_millis(steady_ms),
+        boottime: Duration::from_millis(boottime_ms),
+        monotonic: Duration::from_millis(monotonic_ms),
     }
 }
 
+/// A suspension is reported by the first reading after it and not again.
 #[test]
-fn a_suspension_is_told_once() {
+fn suspension_is_reported_once() {
     // Arrange
-    let mut watch = SuspensionWatch::new(reading(50_000, 40_000));
+    let mut watch = SuspensionDetector::new(reading(50_000, 40_000));
 
     // Act
     let before = watch.on_reading(reading(60_000, 50_000));
@@ -24,10 +25,11 @@
     assert_eq!((before, after, again), (None, Some(Duration::from_secs(7)), None));
 }
 
+/// A pause between the reads of the two clocks is not taken for a suspension.
 #[test]
-fn a_pause_between_the_two_readings_is_no_suspension() {
+fn pause_between_clock_reads_is_not_reported() {
     // Arrange
-    let mut watch = SuspensionWatch::new(reading(50_000, 40_000));
+    let mut watch = SuspensionDetector::new(reading(50_000, 40_000));
 
     // Act
     let paused = watch.on_reading(reading(60_000, 50_400));
--- a/crates/sillbank_entry/src/callers.rs
+++ b/crates/sillbank_entry/src/callers.rs
@@ -141,7 +141,7 @@
             chat.model.clone(),
             span,
         );
-        let id = drive_id(uid, request.plan.attempt);
+        let id = execution_id(uid, request.plan.attempt);
         let progress = Progress::new(context.request_id.clone());
         self.entry.stop.generations.register(id, request.mailbox.clone(), progress.clone());
         let entry = self.entry.clone();
@@ -282,8 +282,8 @@
     fn first_attempt(&self) -> Attempt {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let count = since.map_or(0, |since| since.as_millis() as u64);
-        let draw = self.entry.rng.borrow_mut().u64(..ATTEMPT_RAISE);
-        count << ATTEMPT_DRAW_BITS | draw
+        let draw = self.entry.rng.borrow_mut().u64(..ATTEMPT_INCREMENT);
+        count << ATTEMPT_RANDOM_BITS | draw
     }
 }
 
--- a/crates/sillbank_entry/src/drive.rs
+++ b/crates/sillbank_entry/src/drive.rs
@@ -111,8 +111,8 @@
     }
 
     /// Which try at the request this is.
-    fn id(&self) -> DriveId {
-        drive_id(self.uid, self.generation.attempt())
+    fn id(&self) -> ExecutionId {
+        execution_id(self.uid, self.generation.attempt())
     }
 
     fn take(&mut self, event: Event) {
--- a/crates/sillbank_entry/src/engine_link.rs
+++ b/crates/sillbank_entry/src/engine_link.rs
@@ -48,12 +48,12 @@
 
     /// Tells the engine that a request has ended here.
     pub(crate) fn cancel(&self, uid: RequestUid, attempt: Attempt) {
-        self.forget(drive_id(uid, attempt));
+        self.forget(execution_id(uid, attempt));
         self.write(&EngineRequest::Cancel { uid, attempt });
     }
 
     /// Stops waiting for a request's reply without telling the engine.
-    pub(crate) fn forget(&self, id: DriveId) {
+    pub(crate) fn forget(&self, id: ExecutionId) {
         self.awaited.borrow_mut().take(id);
     }
 
--- a/crates/sillbank_entry/src/in_flight.rs
+++ b/crates/sillbank_entry/src/in_flight.rs
@@ -77,17 +77,17 @@
 /// All generations of this VM that have not ended.
 #[derive(Default)]
 pub(crate) struct Generations {
-    all: RefCell<HashMap<DriveId, InFlight>>,
+    all: RefCell<HashMap<ExecutionId, InFlight>>,
 }
 
 impl Generations {
     /// Notes a generation in flight.
-    pub(crate) fn register(&self, id: DriveId, mailbox: Mailbox, progress: Rc<Progress>) {
+    pub(crate) fn register(&self, id: ExecutionId, mailbox: Mailbox, progress: Rc<Progress>) {
         self.all.borrow_mut().insert(id, InFlight { mailbox, progress });
     }
 
     /// Notes that a generation has ended.
-    pub(crate) fn unregister(&self, id: DriveId) {
+    pub(crate) fn unregister(&self, id: ExecutionId) {
         self.all.borrow_mut().remove(&id);
     }
 
@@ -106,14 +106,14 @@
     /// The oldest of them and what they wait for, for `/v1/status`.
     pub(crate) fn status(&self, entry: &Entry) -> Vec<serde_json::Value> {
         let all = self.all.borrow();
-        let mut oldest: Vec<(&DriveId, &InFlight)> = all.iter().collect();
+        let mut oldest: Vec<(&ExecutionId, &InFlight)> = all.iter().collect();
         oldest.sort_by_key(|(_, generation)| generation.progress.began);
         let listed = oldest.into_iter().take(MAX_LISTED);
         listed.map(|(id, generation)| status_of(entry, *id, &generation.progress)).collect()
     }
 }
 
-fn status_of(entry: &Entry, id: DriveId, progress: &Progress) -> serde_json::Value {
+fn status_of(entry: &Entry, id: ExecutionId, progress: &Progress) -> serde_json::Value {
     let state = progress.state.get();
     // A generation whose stage is being replaced waits for no answer.
     let sent = progress.sent.get().filter(|_| state == State::Running);
--- a/crates/sillbank_entry/src/services.rs
+++ b/crates/sillbank_entry/src/services.rs
@@ -166,18 +166,18 @@
         }
         match entry.http.call(*address, service_request(context, call), left).await {
             Ok(answer) if said_not_run(&answer) => {
-                log.sent();
-                log.refused();
+                log.record_sent();
+                log.record_refused();
                 reason = format!("{address} refused the call without running it.");
             }
             Ok(answer) => {
-                log.sent();
-                log.ran();
+                log.record_sent();
+                log.record_ran();
                 return Ok(pass_on(context, &answer));
             }
             Err(CallError::NotSent { reason: why, .. }) => reason = why,
             Err(CallError::Lost { reason: why, .. }) => {
-                log.sent();
+                log.record_sent();
                 reason = why;
                 if !call.repeatable {
                     break;
--- a/crates/sillbank_entry/src/state.rs
+++ b/crates/sillbank_entry/src/state.rs
@@ -5,7 +5,7 @@
 use crate::metrics::Metrics;
 use crate::stop::StopState;
 use sillbank_admission::Admission;
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_net::prelude::*;
 use sillbank_protocol::platform::Version;
 use sillbank_routing::prelude::*;
@@ -49,7 +49,7 @@
             table: RefCell::new(EndpointTable::new(HealthLimits::default())),
             links: RefCell::default(),
             policy: RefCell::new(policy),
-            rng: RefCell::new(fastrand::Rng::with_seed(Chance::from_entropy().number())),
+            rng: RefCell::new(fastrand::Rng::with_seed(SharedRng::from_entropy().next_u64())),
             metrics: Metrics::new(),
             stop: StopState::default(),
             claims: ControlClaims::default(),
--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -159,7 +159,7 @@
             }
         };
         let service = route
-            .choose_service(self.gateway.chance.fraction())
+            .choose_service(self.gateway.chance.next_f64())
             .and_then(|name| catalog.service(name))
             .ok_or_else(|| uninformed("the route's service is not configured"))?;
         if self.gateway.standing() == Standing::Full {
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -266,7 +266,7 @@
 ) -> Result<Choice, CallRefused> {
     let now = Instant::now();
     let settings = gateway.settings();
-    let draw = || gateway.chance.fraction();
+    let draw = || gateway.chance.next_f64();
     let views = gateway.views(now);
     gateway.knowledge.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
--- a/crates/sillbank_gateway/src/follow.rs
+++ b/crates/sillbank_gateway/src/follow.rs
@@ -25,7 +25,7 @@
 
 /// Waits before the next call, and looks again and again whether the leader is still there.
 async fn pause<W: Wire, S: MetadataStore>(backoff: &mut Backoff, gateway: &Gateway<W, S>) {
-    let pause = backoff.next_pause(Instant::now(), gateway.chance.fraction());
+    let pause = backoff.next_pause(Instant::now(), gateway.chance.next_f64());
     loop {
         let left = pause.left(Instant::now(), &gateway.hall, gateway.freshness());
         if left.is_zero() {
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -111,7 +111,7 @@
     /// Drawn at the start, to tell this process from others on the same VM.
     pub incarnation: Incarnation,
     /// What is decided by chance is drawn here.
-    pub chance: Chance,
+    pub chance: SharedRng,
     /// Requests in progress.
     pub in_progress: Cell<u64>,
     store_reached: Cell<bool>,
@@ -128,10 +128,10 @@
         store: S,
         engine_calls: HttpClient,
         executor: Rc<LocalExecutor<'static>>,
-        chance: Chance,
+        chance: SharedRng,
     ) -> Self {
         let metrics = Metrics::default();
-        let (incarnation, began) = (chance.number(), Instant::now());
+        let (incarnation, began) = (chance.next_u64(), Instant::now());
         Self {
             knowledge: Knowledge::new(settings.key_revocation),
             kept: KeptBytes::new(settings.kept_bound_bytes()),
--- a/crates/sillbank_gateway/src/hall.rs
+++ b/crates/sillbank_gateway/src/hall.rs
@@ -78,7 +78,7 @@
     other_leaders: RefCell<BTreeMap<HallId, OtherLeader>>,
     /// What leaders tell of engines.
     pub boards: Boards,
-    chance: Chance,
+    chance: SharedRng,
     askers: RefCell<BTreeMap<VmId, Asker>>,
     /// Where the leader is asked by the word of the one before; goes before what was read of the lease.
     redirect: Cell<Option<SocketAddr>>,
@@ -97,7 +97,7 @@
 
 impl Hall {
     /// A hall of which nothing is known yet; a VM's turns to ask the store are drawn from `chance`.
-    pub fn new(chance: Chance) -> Self {
+    pub fn new(chance: SharedRng) -> Self {
         Self {
             told_vms: Cell::default(),
             leads: Cell::default(),
@@ -126,7 +126,7 @@
         self.heard.set(Some(now));
         if self.confirmed.replace(confirmed) != confirmed {
             // Few VMs draw an early turn: the root of a number drawn evenly from 0 to 1 is seldom small.
-            self.turn.set(self.chance.fraction().sqrt());
+            self.turn.set(self.chance.next_f64().sqrt());
         }
         self.leader_holds_lease.set(holds_lease);
     }
@@ -255,7 +255,7 @@
         let is_here = |asker: &Asker| now.saturating_duration_since(asker.at) < FEED_LIVE;
         let is_fit = |asker: &Asker| asker.strength > 0.0 && asker.strength >= least;
         let fit = askers.iter().filter(|(_, asker)| is_here(asker) && is_fit(asker));
-        let drawn = fit.map(|(vm, asker)| (asker.strength, self.chance.number(), vm, asker.peer));
+        let drawn = fit.map(|(vm, asker)| (asker.strength, self.chance.next_u64(), vm, asker.peer));
         let strongest = drawn.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
         Some((strongest.2.clone(), strongest.3))
     }
--- a/crates/sillbank_gateway/src/knowledge.rs
+++ b/crates/sillbank_gateway/src/knowledge.rs
@@ -5,7 +5,7 @@
 use crate::store::Snapshot;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
-use sillbank_core::suspension::SuspensionWatch;
+use sillbank_core::suspension::SuspensionDetector;
 use sillbank_fleet::prelude::*;
 use sillbank_net::clocks::read_clocks;
 use std::cell::{Cell, RefCell};
@@ -55,7 +55,7 @@
     /// How often the store was found to be back or restored.
     store_returns: Cell<u64>,
     waiting_for_store: RefCell<Vec<Waker>>,
-    suspension: RefCell<SuspensionWatch>,
+    suspension: RefCell<SuspensionDetector>,
     /// When the machine was last found to have been suspended.
     woken_at: Cell<Option<Instant>>,
 }
@@ -79,7 +79,7 @@
             waiting_for_confirmation: RefCell::default(),
             store_returns: Cell::new(0),
             waiting_for_store: RefCell::default(),
-            suspension: RefCell::new(SuspensionWatch::new(read_clocks())),
+            suspension: RefCell::new(SuspensionDetector::new(read_clocks())),
             woken_at: Cell::new(None),
         }
     }
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -166,7 +166,7 @@
     /// Which mechanisms are on.
     pub mechanisms: Mechanisms,
     /// What chance adds to costs is drawn here.
-    pub chance: &'a Chance,
+    pub chance: &'a SharedRng,
     /// Now.
     pub now: Instant,
 }
@@ -267,7 +267,7 @@
     let factor = kind.map_or(1.0, |kind| kind.step_factor);
     let busy = 1.0 + f64::from(book.in_flight(&record.id)) / DOUBLING_REQUESTS;
     let layer_ms = figures.step_ms / f64::from(figures.layers.max(1));
-    let drawn = 1.0 + CHANCE * chance.fraction();
+    let drawn = 1.0 + CHANCE * chance.next_f64();
     let unseen = unseen(views, ask, record, &told);
     let capacity = kind.and_then(|kind| kv_capacity(figures, kind, layers.len()));
     let room = capacity.map(|capacity| KvRoom::new(capacity, told.kv_share, unseen.kv));
--- a/crates/sillbank_gateway/src/placement/leadership.rs
+++ b/crates/sillbank_gateway/src/placement/leadership.rs
@@ -46,7 +46,7 @@
     lease: Lease<Revision>,
     /// Era of the store in which the lease was last looked at.
     era: Option<Era>,
-    chance: Chance,
+    chance: SharedRng,
     name: String,
     /// Where the leader is asked by what the store told at the start; the lease itself goes before it.
     named: Option<SocketAddr>,
@@ -100,7 +100,7 @@
             self.hand_over(vm, peer).await;
             return;
         }
-        let mut write = self.lease.on_tick(moment(), self.chance.number());
+        let mut write = self.lease.on_tick(moment(), self.chance.next_u64());
         if write.is_none() && self.lease.wants_read() && self.read_is_due(now) {
             write = self.read().await;
         }
@@ -135,7 +135,7 @@
             // It was held by the process before this one, which may take it again at once.
             Ok(Some(record)) if record.peer == own => {}
             // Free or never held: the VMs of the hall read it one after the other.
-            Ok(_) => self.read_from = Instant::now() + LEAST_TURNS.mul_f64(self.chance.fraction()),
+            Ok(_) => self.read_from = Instant::now() + LEAST_TURNS.mul_f64(self.chance.next_f64()),
             Err(error) => tracing::debug!(%error, "lease: It could not be looked up."),
         }
     }
@@ -147,12 +147,12 @@
         let turns = (TURN_OF_VM * hall.most_hall_vms()).max(LEAST_TURNS);
         // A VM that is not fit to lead comes after all others.
         let before = if self.gateway.strength() > 0.0 { Duration::ZERO } else { turns };
-        self.turn = before + turns.mul_f64(self.chance.fraction());
+        self.turn = before + turns.mul_f64(self.chance.next_f64());
         match self.gateway.store.read_lease(&self.name).await {
             Ok(read) => {
                 self.read_from = Instant::now() + LEASE_READ_INTERVAL;
                 self.note_era();
-                self.lease.on_read(moment(), read, self.chance.number())
+                self.lease.on_read(moment(), read, self.chance.next_u64())
             }
             Err(error) => {
                 self.read_from = Instant::now() + self.pause_after_failure();
@@ -198,7 +198,7 @@
     }
 
     async fn hand_over(&mut self, vm: VmId, peer: SocketAddr) {
-        let write = self.lease.hand_over(moment(), self.chance.number(), vm.clone(), peer);
+        let write = self.lease.hand_over(moment(), self.chance.next_u64(), vm.clone(), peer);
         let Some(write) = write else { return };
         let end = self.gateway.store.write_lease(&self.name, &write).await;
         self.lease.on_write_end(moment(), end);
@@ -218,7 +218,7 @@
             self.hand_over(vm, peer).await;
             return;
         }
-        if let Some(write) = self.lease.give_up(moment(), self.chance.number(), None) {
+        if let Some(write) = self.lease.give_up(moment(), self.chance.next_u64(), None) {
             let end = self.gateway.store.write_lease(&self.name, &write).await;
             self.lease.on_write_end(moment(), end);
         }
--- a/crates/sillbank_gateway/src/plugins.rs
+++ b/crates/sillbank_gateway/src/plugins.rs
@@ -9,7 +9,7 @@
 use crate::{
     doctor, feed, follow, lifecycle, placement, pushback, quarantine, quarantine_store, vm_limits,
 };
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_net::prelude::*;
 use smol::LocalExecutor;
 use smol::net::TcpListener;
@@ -138,7 +138,7 @@
         "program: Started."
     );
     let engine_calls = HttpClient::new(executor.clone(), MAX_ENGINE_REPLY_BYTES);
-    let chance = Chance::from_entropy();
+    let chance = SharedRng::from_entropy();
     let gateway = Gateway::<W, S>::new(settings, store, engine_calls, executor.clone(), chance);
     let stopper = Stopper::default();
     let app = App::new(executor, Rc::new(gateway))
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -28,7 +28,7 @@
             return;
         }
         let life = self.knowledge.endpoints(|directory| directory.newest_life(endpoint));
-        let (draw, now) = (self.chance.fraction(), Instant::now());
+        let (draw, now) = (self.chance.next_f64(), Instant::now());
         let events = self.pushback.borrow_mut().on_answer(endpoint, life, pushback, draw, now);
         if !events.is_empty() {
             let events: Vec<_> =
@@ -51,7 +51,7 @@
             })
         };
         let limits: Vec<LimitNews> = limits.iter().filter(is_current).cloned().collect();
-        let (draw, now) = (|| self.chance.fraction(), Instant::now());
+        let (draw, now) = (|| self.chance.next_f64(), Instant::now());
         let events = self.pushback.borrow_mut().on_told(&limits, draw, now);
         self.on_pushback_events(&events, from);
     }
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -81,14 +81,14 @@
 ) -> Sent {
     let sent_at = Instant::now();
     let request = job.request_for::<W>(to.endpoint, to.path, resume_after, sent_at);
-    job.note_run(RunLog::sent);
+    job.note_run(RunLog::record_sent);
     let reply = match channel.connection.sender.try_send_request(request).await {
         Ok(reply) => reply,
         Err(mut error) => {
             let reason = error.error().to_string();
             return match error.take_message() {
                 Some(_) => {
-                    job.note_run(RunLog::refused);
+                    job.note_run(RunLog::record_refused);
                     Sent::NotSent(reason)
                 }
                 None => Sent::Lost(reason),
@@ -106,7 +106,7 @@
     }
     match read {
         EndpointReply::Success => {
-            job.note_run(RunLog::ran);
+            job.note_run(RunLog::record_ran);
             Sent::Success(reply, channel)
         }
         EndpointReply::Failure if is_promise(reply.status().as_u16()) => Sent::Lost(format!(
@@ -114,11 +114,11 @@
             reply.status().as_u16()
         )),
         EndpointReply::Failure => {
-            job.note_run(RunLog::ran);
+            job.note_run(RunLog::record_ran);
             Sent::Failure(reply, channel)
         }
         EndpointReply::NotRun(refusal) => {
-            job.note_run(RunLog::refused);
+            job.note_run(RunLog::record_refused);
             let endpoint = to.endpoint.to_owned();
             keep_after_refusal(gateway, endpoint, reply, channel).await;
             Sent::NotRun(refusal)
--- a/crates/sillbank_gateway/src/streams/begin.rs
+++ b/crates/sillbank_gateway/src/streams/begin.rs
@@ -108,7 +108,7 @@
         route: &job.route,
         urgency: job.urgency(),
         left: job.head.time_left,
-        draw: gateway.chance.fraction(),
+        draw: gateway.chance.next_f64(),
     };
     let admitted = gateway.load.admit(gateway.views(Instant::now()), ask);
     let metrics = &gateway.metrics.ladder;
--- a/crates/sillbank_gateway/tests/answers.rs
+++ b/crates/sillbank_gateway/tests/answers.rs
@@ -16,11 +16,11 @@
 fn log_of(ends: &[SendEnd]) -> RunLog {
     let mut log = RunLog::default();
     for end in ends {
-        log.sent();
+        log.record_sent();
         match end {
-            SendEnd::RefusedWithProof => log.refused(),
+            SendEnd::RefusedWithProof => log.record_refused(),
             SendEnd::NoAnswer => {}
-            SendEnd::Ran => log.ran(),
+            SendEnd::Ran => log.record_ran(),
         }
     }
     log
--- a/crates/sillbank_gateway/tests/fleet_sources.rs
+++ b/crates/sillbank_gateway/tests/fleet_sources.rs
@@ -8,7 +8,7 @@
 mod support;
 
 use arbitrary::Unstructured;
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_gateway::freshness::Freshness;
 use sillbank_testing::{for_fixed_seeds, for_seed};
 use std::time::Duration;
@@ -42,7 +42,7 @@
 /// A fleet that draws from the sequence of `seed`.
 fn fleet(seed: u64, halls: usize, vms: usize, bound_ms: u64) -> Fleet {
     let freshness = Freshness::new(bound(bound_ms), REVOCATION);
-    Fleet::new(halls, vms, freshness, Chance::with_seed(seed))
+    Fleet::new(halls, vms, freshness, SharedRng::with_seed(seed))
 }
 
 #[test]
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -90,7 +90,7 @@
     told: Option<EngineState>,
 ) -> Option<Foretold> {
     let now = Instant::now();
-    let chance = Chance::with_seed(SEED);
+    let chance = SharedRng::with_seed(SEED);
     let (knowledge, hall) = (Knowledge::new(Duration::from_secs(5)), Hall::new(chance.clone()));
     knowledge.take_endpoints(now, Snapshot { at: Revision::new(1, 1), value: vec![record] });
     if let Some(state) = told {
--- a/crates/sillbank_gateway/tests/freshness.rs
+++ b/crates/sillbank_gateway/tests/freshness.rs
@@ -1,6 +1,6 @@
 //! While all is well nobody but the leader asks the store; when the leader is blind, others ask in time.
 
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_gateway::feed::FeedNews;
 use sillbank_gateway::freshness::{
     Freshness, NEED_POLL, NEWS_WAIT, confirmed_by_watch, lease_term,
@@ -24,7 +24,7 @@
 /// Ages of the leader's confirmation as a VM knows it right before each news, over some seconds.
 fn ages_before_news(freshness: Freshness, phase: Duration) -> Vec<Duration> {
     let began = Instant::now();
-    let (hall, mut ages) = (Hall::new(Chance::with_seed(SEED)), Vec::new());
+    let (hall, mut ages) = (Hall::new(SharedRng::with_seed(SEED)), Vec::new());
     let step = freshness.leader_wait + WAY;
     // When the leader has the confirmation after this one, by the leader of another hall.
     let next_at = |watch_sent: Instant| watch_sent + step + BY_OTHER_HALL;
--- a/crates/sillbank_gateway/tests/hall.rs
+++ b/crates/sillbank_gateway/tests/hall.rs
@@ -1,6 +1,6 @@
 //! For how long what leaders tell is believed.
 
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_gateway::feed::{EngineState, HallBoard};
 use sillbank_gateway::freshness::Freshness;
 use sillbank_gateway::hall::{Hall, HallVms};
@@ -42,7 +42,7 @@
 
 /// A hall of which nothing is known yet.
 fn unknown_hall() -> Hall {
-    Hall::new(Chance::with_seed(SEED))
+    Hall::new(SharedRng::with_seed(SEED))
 }
 
 /// The least age of a confirmation at which it is not enough any more is then above a second.
@@ -252,7 +252,7 @@
 
 /// The heir of a hall whose VMs are alike in strength, when they asked in this order.
 fn drawn_heir(seed: u64, vms: [u8; 3]) -> Option<std::net::SocketAddr> {
-    let (hall, now) = (Hall::new(Chance::with_seed(seed)), Instant::now());
+    let (hall, now) = (Hall::new(SharedRng::with_seed(seed)), Instant::now());
     for number in vms {
         hall.on_asker(&number.to_string(), peer(number), 5.0, None, now);
     }
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -6,8 +6,8 @@
 use engines::{LAYERS, SLOTS, service};
 use sillbank_admission::ladder::Urgency;
 use sillbank_catalog::prelude::*;
-use sillbank_core::chance::Chance;
 use sillbank_core::prelude::*;
+use sillbank_core::rng::SharedRng;
 use sillbank_fleet::prelude::*;
 use sillbank_gateway::endpoints::EndpointBook;
 use sillbank_gateway::feed::{EngineState, HallBoard};
@@ -74,7 +74,7 @@
 struct Vm {
     knowledge: Knowledge,
     hall: Hall,
-    chance: Chance,
+    chance: SharedRng,
     book: EndpointBook,
     pushback: RefCell<PushbackBook>,
     load: FleetLoad,
@@ -92,8 +92,8 @@
         knowledge.take_endpoints(start, Snapshot { at: Revision::new(1, 1), value });
         Self {
             knowledge,
-            hall: Hall::new(Chance::with_seed(1)),
-            chance: Chance::with_seed(1),
+            hall: Hall::new(SharedRng::with_seed(1)),
+            chance: SharedRng::with_seed(1),
             book: EndpointBook::default(),
             pushback: RefCell::default(),
             load: FleetLoad::default(),
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -65,7 +65,7 @@
 }
 
 fn chosen_by(seed: u64, records: &[EndpointRecord], engines: Vec<EngineState>) -> Vec<EndpointId> {
-    let chance = Chance::with_seed(seed);
+    let chance = SharedRng::with_seed(seed);
     let path = path_beside(records, engines, &Rc::default(), &chance).expect("there is one");
     path.parts().iter().map(|part| part.endpoint.clone()).collect()
 }
@@ -88,7 +88,7 @@
     records: &[EndpointRecord],
     engines: Vec<EngineState>,
     book: &Rc<EndpointBook>,
-    chance: &Chance,
+    chance: &SharedRng,
 ) -> Option<LayerPath> {
     let now = Instant::now();
     let vm = Vm { book: book.clone(), ..Vm::new(chance) };
@@ -103,12 +103,12 @@
     hall: Hall,
     book: Rc<EndpointBook>,
     pushback: RefCell<PushbackBook>,
-    chance: Chance,
+    chance: SharedRng,
 }
 
 impl Vm {
     /// It knows nothing yet.
-    fn new(chance: &Chance) -> Self {
+    fn new(chance: &SharedRng) -> Self {
         Self {
             knowledge: Knowledge::new(Duration::from_secs(5)),
             hall: Hall::new(chance.clone()),
@@ -130,8 +130,8 @@
     }
 }
 
-fn chance() -> Chance {
-    Chance::with_seed(SEEDS.start)
+fn chance() -> SharedRng {
+    SharedRng::with_seed(SEEDS.start)
 }
 
 fn path_by(service: &Service, views: Views<'_>) -> Option<LayerPath> {
--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of VMs that follow the store and one another by the gateway's own rules, in steps of 10 ms.
 
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_gateway::backoff::{Backoff, Pause};
 use sillbank_gateway::freshness::{Freshness, NEED_POLL, NEWS_WAIT, confirmed_by_watch};
 use sillbank_gateway::hall::Hall;
@@ -71,7 +71,7 @@
     vms: Vec<Vm>,
     vms_a_hall: usize,
     freshness: Freshness,
-    chance: Chance,
+    chance: SharedRng,
     began: Instant,
     now: Instant,
     calls_when_settled: Vec<u64>,
@@ -93,7 +93,7 @@
 impl Fleet {
     /// `halls` halls of `vms` VMs, of which the first leads, all of them just confirmed. All of them draw from
     /// `chance`.
-    pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, chance: Chance) -> Self {
+    pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, chance: SharedRng) -> Self {
         let began = Instant::now();
         let new = |at: usize| {
             let place = VmPlace { hall: at / vms, number: at % vms, leads: at.is_multiple_of(vms) };
@@ -242,7 +242,7 @@
                     vm.following = Following::Resting(now);
                 } else {
                     vm.following =
-                        Following::Pausing(vm.backoff.next_pause(now, self.chance.fraction()));
+                        Following::Pausing(vm.backoff.next_pause(now, self.chance.next_f64()));
                 }
             }
             Following::Pausing(pause) => {
--- a/crates/sillbank_generation/src/awaited.rs
+++ b/crates/sillbank_generation/src/awaited.rs
@@ -39,7 +39,7 @@
 /// Steps whose answers are awaited, by the request's run they belong to.
 #[derive(Debug, Clone)]
 pub struct AwaitedSteps<W> {
-    steps: HashMap<DriveId, AwaitedStep<W>>,
+    steps: HashMap<ExecutionId, AwaitedStep<W>>,
     prefill_positions: u32,
 }
 
@@ -52,7 +52,7 @@
 impl<W> AwaitedSteps<W> {
     /// Notes a step that is sent. It takes the place of the request's last one here.
     pub fn on_sent(&mut self, stage: StageIndex, step: &Step, waiter: W, now: Instant) {
-        let id = drive_id(step.uid, step.attempt);
+        let id = execution_id(step.uid, step.attempt);
         let resends = self.take(id).map_or(0, |old| old.resends);
         let positions = step.inputs.len() as u32;
         self.prefill_positions += prefill_part(positions);
@@ -67,13 +67,13 @@
     /// is answered twice. Such an answer leaves a newer step of the same request awaited: taken
     /// for that step's, it left the request with nobody who watched it, until its deadline.
     pub fn on_reply(&mut self, reply: &StepReply) -> Option<AwaitedStep<W>> {
-        let id = drive_id(reply.uid, reply.attempt);
+        let id = execution_id(reply.uid, reply.attempt);
         let is_its_own = self.steps.get(&id).is_some_and(|step| step.is_answered_by(reply));
         if is_its_own { self.take(id) } else { None }
     }
 
     /// Takes out what is awaited for a request's run.
-    pub fn take(&mut self, id: DriveId) -> Option<AwaitedStep<W>> {
+    pub fn take(&mut self, id: ExecutionId) -> Option<AwaitedStep<W>> {
         let step = self.steps.remove(&id)?;
         let left = self.prefill_positions.saturating_sub(prefill_part(step.positions));
         self.prefill_positions = left;
@@ -87,7 +87,7 @@
     }
 
     /// Whether a step of this request's run is awaited.
-    pub fn awaits(&self, id: DriveId) -> bool {
+    pub fn awaits(&self, id: ExecutionId) -> bool {
         self.steps.contains_key(&id)
     }
 
--- a/crates/sillbank_generation/src/lib.rs
+++ b/crates/sillbank_generation/src/lib.rs
@@ -228,14 +228,14 @@
                 if !whole || (self.stages.is_last(stage) && token.is_none()) {
                     return self.within_budget(ChartEvent::StateLost);
                 }
-                self.run.ran();
+                self.run.record_ran();
                 match self.ends_with(stage, *token) {
                     true => ChartEvent::LastOutput,
                     false => ChartEvent::Output,
                 }
             }
             StepOutcome::Refused(refusal) => {
-                self.run.refused();
+                self.run.record_refused();
                 match refusal {
                     // Who has built nothing yet is the newcomer and goes above; who has built
                     // something was taken over, and stays fenced out.
@@ -315,7 +315,7 @@
         };
         let inputs = self.stages.inputs_from(stage, start).to_vec();
         self.waiting_for = Some((stage, start, inputs.len() as u32));
-        self.run.sent();
+        self.run.record_sent();
         self.tally.steps += 1;
         let step = Step {
             uid: self.plan.uid,
@@ -370,7 +370,7 @@
         self.tally.losses += 1;
         self.tally.replayed_tokens += self.stages.lost(stage);
         self.waiting_for = None;
-        self.attempt += ATTEMPT_RAISE;
+        self.attempt += ATTEMPT_INCREMENT;
     }
 
     fn fail(&mut self, kind: FailureKind, actions: &mut Vec<Action>) {
@@ -392,6 +392,6 @@
 
 /// The least number above another that keeps the draw of one's own.
 fn raise_above(newest: Attempt, own: Attempt) -> Attempt {
-    let draw = own % ATTEMPT_RAISE;
-    (newest / ATTEMPT_RAISE + 1) * ATTEMPT_RAISE + draw
+    let draw = own % ATTEMPT_INCREMENT;
+    (newest / ATTEMPT_INCREMENT + 1) * ATTEMPT_INCREMENT + draw
 }
--- a/crates/sillbank_generation/tests/awaited.rs
+++ b/crates/sillbank_generation/tests/awaited.rs
@@ -42,7 +42,7 @@
 #[test]
 fn an_answer_to_a_step_that_was_given_up_leaves_the_new_step_awaited() {
     let now = Instant::now();
-    let (given_up, new) = (step(5, 7), step(5 + ATTEMPT_RAISE, 0));
+    let (given_up, new) = (step(5, 7), step(5 + ATTEMPT_INCREMENT, 0));
     let mut awaited = AwaitedSteps::default();
     awaited.on_sent(0, &given_up, (), now);
     awaited.take_all();
@@ -69,7 +69,7 @@
 
     assert!(first.is_some());
     assert!(second.is_none(), "it was answered before");
-    assert!(awaited.awaits(drive_id(next.uid, next.attempt)), "the next step is awaited");
+    assert!(awaited.awaits(execution_id(next.uid, next.attempt)), "the next step is awaited");
 }
 
 #[test]
@@ -156,7 +156,7 @@
         let mut actions = Vec::new();
         self.generation.on_event(event, &mut actions);
         for action in actions {
-            let id = drive_id(RequestUid(3, 4), self.generation.attempt());
+            let id = execution_id(RequestUid(3, 4), self.generation.attempt());
             match action {
                 Action::Send(stage, step) => {
                     let connection = &mut self.connections[stage][self.behind[stage]];
@@ -230,7 +230,7 @@
 
     /// Whether some connection tells the generation what becomes of the step that it waits for.
     fn is_watched(&self) -> bool {
-        let id = drive_id(RequestUid(3, 4), self.generation.attempt());
+        let id = execution_id(RequestUid(3, 4), self.generation.attempt());
         let awaited =
             |stage: StageIndex| self.connections[stage][self.behind[stage]].awaited.awaits(id);
         self.generation.is_over() || self.generation.awaited_stage().is_some_and(awaited)
--- a/crates/sillbank_generation/tests/interleavings.rs
+++ b/crates/sillbank_generation/tests/interleavings.rs
@@ -267,7 +267,7 @@
         world.run_engine();
         world.deliver(0);
     }
-    let newer = Plan { attempt: 5 + 2 * ATTEMPT_RAISE, ..plan(vec![1, 2], 6) };
+    let newer = Plan { attempt: 5 + 2 * ATTEMPT_INCREMENT, ..plan(vec![1, 2], 6) };
     let mut second = Generation::new(newer);
     let mut actions = Vec::new();
     second.on_event(Event::Start, &mut actions);
@@ -286,7 +286,7 @@
     let mut world = world(plan(vec![1, 2], 4));
     let ahead = Step {
         uid: RequestUid(3, 4),
-        attempt: 5 + 9 * ATTEMPT_RAISE,
+        attempt: 5 + 9 * ATTEMPT_INCREMENT,
         start: 0,
         layers: LayerRange { first: 0, end: 2 },
         seed: 11,
@@ -301,7 +301,7 @@
     assert!(world.whole, "{:?}", world.failed);
     let own = world.generation.attempt();
     assert!(own > ahead.attempt);
-    assert_eq!(own % ATTEMPT_RAISE, 5, "it keeps its own draw, so two newcomers never meet");
+    assert_eq!(own % ATTEMPT_INCREMENT, 5, "it keeps its own draw, so two newcomers never meet");
 }
 
 #[test]
--- a/crates/sillbank_net/src/clocks.rs
+++ b/crates/sillbank_net/src/clocks.rs
@@ -6,9 +6,9 @@
 
 /// Reads the clocks that tell whether the machine was suspended.
 pub fn read_clocks() -> ClockReading {
-    let since_start = to_duration(clock_gettime(ClockId::Boottime));
-    let steady = to_duration(clock_gettime(ClockId::Monotonic));
-    ClockReading { since_start, steady }
+    let boottime = to_duration(clock_gettime(ClockId::Boottime));
+    let monotonic = to_duration(clock_gettime(ClockId::Monotonic));
+    ClockReading { boottime, monotonic }
 }
 
 fn to_duration(time: Timespec) -> Duration {
