--- a/crates/sillbank_entry/src/callers.rs
+++ b/crates/sillbank_entry/src/callers.rs
@@ -248,7 +248,7 @@
             kv_tokens,
             prefill_tokens: (prompt.len() + known.len()) as u32,
             tokens: max_tokens as u32 - known.len() as u32,
-            except: None,
+            excluded: None,
         });
         let Some(chain) = chain else {
             let reason = format!("No chain of endpoints covers pipeline '{}'.", chat.model);
--- a/crates/sillbank_entry/src/drive.rs
+++ b/crates/sillbank_entry/src/drive.rs
@@ -220,7 +220,7 @@
                 kv_tokens: self.kv_tokens,
                 prefill_tokens: self.generation.sequence_len(),
                 tokens: self.generation.tokens_left(),
-                except,
+                excluded: except,
             };
             let chain = self.entry.take_chain(&request)?;
             match chain[..] {
--- a/crates/sillbank_entry/src/state.rs
+++ b/crates/sillbank_entry/src/state.rs
@@ -68,7 +68,7 @@
         let mut rng = self.rng.borrow_mut();
         let mut table = self.table.borrow_mut();
         let chain = choose_chain(&table, request, &mut *policy, Instant::now(), &mut rng)?;
-        policy.took(&chain);
+        policy.record_choice(&chain);
         for link in &chain {
             let endpoint = table.get_mut(link.endpoint);
             endpoint.requests += 1;
--- a/crates/sillbank_entry/src/sweep.rs
+++ b/crates/sillbank_entry/src/sweep.rs
@@ -34,7 +34,7 @@
     loop {
         Timer::after(SWEEP).await;
         let now = Instant::now();
-        entry.table.borrow_mut().on_time(now);
+        entry.table.borrow_mut().on_tick(now);
         let links: Vec<(EndpointSlot, Rc<EngineLink>)> =
             entry.links.borrow().iter().map(|(slot, link)| (*slot, link.clone())).collect();
         for (slot, link) in links {
--- a/crates/sillbank_gateway/src/endpoints.rs
+++ b/crates/sillbank_gateway/src/endpoints.rs
@@ -22,7 +22,7 @@
 const FAILURE_LIMIT: f64 = 0.4;
 
 const LIMITS: HealthLimits =
-    HealthLimits { eject: EJECT, eject_max: EJECT_MAX, slow_start: SLOW_START };
+    HealthLimits { base_ejection: EJECT, max_ejection: EJECT_MAX, slow_start: SLOW_START };
 
 /// How long an engine that refused its part of a path is avoided where there is another. About the
 /// time in which its entry tells what it holds now.
@@ -241,7 +241,7 @@
                 Evidence::LacksPart => seen.shunned_until = Some(now + SHUN),
                 Evidence::Unreachable => seen.health.on_event(now, HealthEvent::Failure),
             }
-            seen.health.on_time(now, &LIMITS);
+            seen.health.on_tick(now, &LIMITS);
             let is_ejected = seen.health.state() == HealthState::Ejected;
             seen.ejected_at = is_ejected.then(|| seen.ejected_at.unwrap_or(now));
             before != seen.health.state()
--- a/crates/sillbank_routing/src/chain.rs
+++ b/crates/sillbank_routing/src/chain.rs
@@ -1,26 +1,26 @@
-//! Choice of the chain of endpoints that covers a pipeline's layers.
+//! Choice of the chain of endpoints that covers the layers of a pipeline.
 
 use crate::endpoint::Endpoint;
 use crate::table::{EndpointSlot, EndpointTable};
 use sillbank_core::prelude::*;
 use std::time::Instant;
 
-/// How much a backlog adds to a cost: one more request at an engine whose batches are full brings
-/// no token more, while a slower engine with room does.
+/// Weight of an engine's backlog in its cost. One more request at an engine whose batches are full adds no
+/// throughput, while one at a slower engine with free capacity does.
 const BACKLOG_WEIGHT: f64 = 4.0;
 
-/// One stage of a chosen chain.
+/// One stage of a chain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChainLink {
-    /// Endpoint.
+    /// Endpoint that runs the stage.
     pub endpoint: EndpointSlot,
-    /// Layers it runs for this request.
+    /// Layers that it runs for this request.
     pub layers: LayerRange,
 }
 
-/// How much an endpoint costs a request; the chain with the least sum is taken.
+/// Cost function for endpoints; the chain with the lowest total cost is chosen.
 pub trait ChainPolicy {
-    /// Cost of all layers of this endpoint, in any unit that adds up along a chain.
+    /// Returns the cost of running all layers of an endpoint, in any unit that can be summed over a chain.
     fn cost(
         &mut self,
         endpoint: &Endpoint,
@@ -30,12 +30,13 @@
     ) -> f64;
 }
 
-/// Least predicted finish: what is to be prefilled before and for the request, then each of its
-/// tokens at the endpoint's usual time, wait and link included, with one more in the batch.
+/// Chooses the earliest predicted completion. The prediction adds up the outstanding prefills, the prefill of
+/// the request itself, and the endpoint's usual time per token, which includes queueing and network, with one
+/// more request in the batch.
 #[derive(Debug, Clone, Default)]
-pub struct LeastFinish;
+pub struct EarliestFinish;
 
-impl ChainPolicy for LeastFinish {
+impl ChainPolicy for EarliestFinish {
     fn cost(
         &mut self,
         endpoint: &Endpoint,
@@ -43,23 +44,23 @@
         request: &ChainRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> f64 {
-        // An engine never met is assumed quick, so that it is tried and becomes known.
+        // An engine without measurements is assumed to be fast, so that it is used and measured.
         let added = endpoint.added_since_report;
         let token_us = endpoint.cost.expected_us(added).unwrap_or(1000.0);
         let prefill_tokens = endpoint.prefill_outstanding + request.prefill_tokens;
         let expected =
             endpoint.cost.prefill_us(prefill_tokens) + token_us * f64::from(request.tokens.max(1));
         let backlog = 1.0 + BACKLOG_WEIGHT * endpoint.cost.backlog();
-        // Up to a fifth at random keeps VMs with the same stale reports from one choice.
+        // Up to 20% of jitter keeps VMs with the same stale reports from all choosing the same chain.
         expected * backlog * (1.0 + 0.2 * rng.f64())
     }
 }
 
-/// Baseline: every endpoint in turn.
+/// Baseline: uses the endpoints in rotation.
 #[derive(Debug, Clone, Default)]
 pub struct RoundRobin {
-    turn: u64,
-    last: Vec<u64>,
+    round: u64,
+    last_used: Vec<u64>,
 }
 
 impl ChainPolicy for RoundRobin {
@@ -71,28 +72,28 @@
         _: &mut fastrand::Rng,
     ) -> f64 {
         let slot = slot as usize;
-        if self.last.len() <= slot {
-            self.last.resize(slot + 1, 0);
+        if self.last_used.len() <= slot {
+            self.last_used.resize(slot + 1, 0);
         }
-        self.last[slot] as f64
+        self.last_used[slot] as f64
     }
 }
 
 impl RoundRobin {
-    /// Notes that these endpoints had their turn.
-    pub fn took(&mut self, chain: &[ChainLink]) {
-        self.turn += 1;
-        let most = chain.iter().map(|link| link.endpoint as usize + 1).max().unwrap_or(0);
-        if self.last.len() < most {
-            self.last.resize(most, 0);
+    /// Records that a chain was chosen, so that its endpoints are used last in the next round.
+    pub fn record_choice(&mut self, chain: &[ChainLink]) {
+        self.round += 1;
+        let slots = chain.iter().map(|link| link.endpoint as usize + 1).max().unwrap_or(0);
+        if self.last_used.len() < slots {
+            self.last_used.resize(slots, 0);
         }
         for link in chain {
-            self.last[link.endpoint as usize] = self.turn;
+            self.last_used[link.endpoint as usize] = self.round;
         }
     }
 }
 
-/// Baseline: any endpoint.
+/// Baseline: chooses endpoints at random.
 #[derive(Debug, Clone, Default)]
 pub struct RandomChoice;
 
@@ -108,7 +109,7 @@
     }
 }
 
-/// Baseline: the endpoint with the fewest requests of this VM.
+/// Baseline: chooses the endpoint with the fewest requests in flight from this VM.
 #[derive(Debug, Clone, Default)]
 pub struct LeastInFlight;
 
@@ -124,11 +125,11 @@
     }
 }
 
-/// Any of the policies, chosen by settings, without dynamic dispatch.
+/// One of the policies, chosen by settings, without dynamic dispatch.
 #[derive(Debug, Clone)]
 pub enum AnyPolicy {
-    /// [`LeastFinish`]
-    LeastFinish(LeastFinish),
+    /// [`EarliestFinish`]
+    EarliestFinish(EarliestFinish),
     /// [`LeastInFlight`]
     LeastInFlight(LeastInFlight),
     /// [`RoundRobin`]
@@ -138,20 +139,20 @@
 }
 
 impl AnyPolicy {
-    /// The policy of this name; the usual one for an unknown name.
+    /// Returns the policy of this name, or [`EarliestFinish`] for any other name.
     pub fn from_name(name: &str) -> Self {
         match name {
             "least_in_flight" => Self::LeastInFlight(LeastInFlight),
             "round_robin" => Self::RoundRobin(RoundRobin::default()),
             "random" => Self::Random(RandomChoice),
-            _ => Self::LeastFinish(LeastFinish),
+            _ => Self::EarliestFinish(EarliestFinish),
         }
     }
 
-    /// Notes that a chain was taken.
-    pub fn took(&mut self, chain: &[ChainLink]) {
+    /// Records that a chain was chosen.
+    pub fn record_choice(&mut self, chain: &[ChainLink]) {
         if let Self::RoundRobin(policy) = self {
-            policy.took(chain);
+            policy.record_choice(chain);
         }
     }
 }
@@ -165,7 +166,7 @@
         rng: &mut fastrand::Rng,
     ) -> f64 {
         match self {
-            Self::LeastFinish(policy) => policy.cost(endpoint, slot, request, rng),
+            Self::EarliestFinish(policy) => policy.cost(endpoint, slot, request, rng),
             Self::LeastInFlight(policy) => policy.cost(endpoint, slot, request, rng),
             Self::RoundRobin(policy) => policy.cost(endpoint, slot, request, rng),
             Self::Random(policy) => policy.cost(endpoint, slot, request, rng),
@@ -173,34 +174,34 @@
     }
 }
 
-/// What a chain is chosen for.
+/// Requirements on a chain.
 #[derive(Debug, Clone, Copy)]
 pub struct ChainRequest<'a> {
-    /// Pipeline.
+    /// Pipeline to serve.
     pub pipeline: &'a str,
     /// Layers to cover.
     pub layers: LayerRange,
-    /// Positions of KV cache the request will need at each stage.
+    /// KV cache that the request will need at each stage, in positions.
     pub kv_tokens: u32,
-    /// Positions to be built before the first token.
+    /// Positions to prefill before the first token.
     pub prefill_tokens: u32,
-    /// Tokens still to come.
+    /// Tokens still to generate.
     pub tokens: u32,
-    /// Endpoint that is not to be used.
-    pub except: Option<EndpointSlot>,
+    /// Endpoint that must not be used.
+    pub excluded: Option<EndpointSlot>,
 }
 
-/// Best way found so far to cover the layers up to a boundary.
+/// Cheapest cover found so far of the layers up to a boundary, with its last stage.
 #[derive(Debug, Clone, Copy)]
-struct Reached {
+struct BestCover {
     cost: f64,
     link: Option<ChainLink>,
 }
 
-/// Covers the layers with the least cost, or finds no cover.
+/// Returns the chain of lowest cost that covers the layers of a request, or `None` if no chain does.
 ///
-/// Endpoints that are ejected are used only if there is no cover without them, so that a hall
-/// never ejects itself empty. Leaving endpoints are never used.
+/// Ejected endpoints are used only if no chain exists without them, so that a hall cannot eject all of its
+/// endpoints. Leaving endpoints are never used.
 pub fn choose_chain<P: ChainPolicy>(
     table: &EndpointTable,
     request: &ChainRequest<'_>,
@@ -210,11 +211,12 @@
 ) -> Option<Vec<ChainLink>> {
     [false, true].into_iter().find_map(|last_resort| {
         let candidates = table.candidates(request, now, last_resort);
-        cover(table, request, &candidates, policy, rng)
+        cheapest_cover(table, request, &candidates, policy, rng)
     })
 }
 
-fn cover<P: ChainPolicy>(
+/// Finds the cheapest cover by dynamic programming over the layer boundaries.
+fn cheapest_cover<P: ChainPolicy>(
     table: &EndpointTable,
     request: &ChainRequest<'_>,
     candidates: &[(EndpointSlot, f64)],
@@ -226,39 +228,39 @@
         .iter()
         .map(|(slot, share)| policy.cost(table.get(*slot), *slot, request, rng) / share)
         .collect();
-    let mut reached = vec![Reached { cost: f64::INFINITY, link: None }; layers.len() + 1];
-    reached[0].cost = 0.0;
-    for at in 0..layers.len() {
-        if reached[at].cost.is_infinite() {
+    let mut best = vec![BestCover { cost: f64::INFINITY, link: None }; layers.len() + 1];
+    best[0].cost = 0.0;
+    for boundary in 0..layers.len() {
+        if best[boundary].cost.is_infinite() {
             continue;
         }
-        let first = layers.first + at as u16;
+        let first = layers.first + boundary as u16;
         for ((slot, _), cost) in candidates.iter().zip(&costs) {
             let held = table.get(*slot).spec.layers;
             if held.first > first || held.end <= first {
                 continue;
             }
             let end = held.end.min(layers.end);
-            // An endpoint entered in the middle of its range costs its share of it.
+            // An endpoint that runs only a part of its layers costs the same part.
             let part = f64::from(end - first) / held.len() as f64;
-            let total = reached[at].cost + cost * part;
-            let goal = &mut reached[usize::from(end - layers.first)];
-            if total < goal.cost {
+            let total = best[boundary].cost + cost * part;
+            let cover = &mut best[usize::from(end - layers.first)];
+            if total < cover.cost {
                 let link = ChainLink { endpoint: *slot, layers: LayerRange { first, end } };
-                *goal = Reached { cost: total, link: Some(link) };
+                *cover = BestCover { cost: total, link: Some(link) };
             }
         }
     }
-    walk_back(&reached, layers)
+    backtrack(&best, layers)
 }
 
-fn walk_back(reached: &[Reached], layers: LayerRange) -> Option<Vec<ChainLink>> {
+fn backtrack(best: &[BestCover], layers: LayerRange) -> Option<Vec<ChainLink>> {
     let mut chain = Vec::new();
-    let mut at = layers.len();
-    while at > 0 {
-        let link = reached[at].link?;
+    let mut boundary = layers.len();
+    while boundary > 0 {
+        let link = best[boundary].link?;
         chain.push(link);
-        at = usize::from(link.layers.first - layers.first);
+        boundary = usize::from(link.layers.first - layers.first);
     }
     chain.reverse();
     Some(chain)
--- a/crates/sillbank_routing/src/endpoint.rs
+++ b/crates/sillbank_routing/src/endpoint.rs
@@ -1,49 +1,49 @@
-//! One endpoint as the router sees it.
+//! State of one generation endpoint, as known to this VM.
 
 use crate::cost::StepCost;
 use crate::health::Health;
 use sillbank_core::prelude::*;
 use std::time::Instant;
 
-/// What settings say of a generation endpoint.
+/// Settings of a generation endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointSpec {
-    /// Name.
+    /// Name of the endpoint.
     pub id: EndpointId,
-    /// Data hall it stands in.
+    /// Data hall that it runs in.
     pub hall: HallId,
     /// Accelerator kind.
     pub kind: AcceleratorKind,
-    /// Pipeline it serves.
+    /// Pipeline that it serves.
     pub pipeline: PipelineId,
-    /// Layers it holds.
+    /// Layers that it holds.
     pub layers: LayerRange,
-    /// `IP:PORT` of its interface.
+    /// Address of its interface as `IP:PORT`.
     pub address: String,
-    /// Whether settings say that it leaves.
+    /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// An endpoint with what this VM knows of it.
+/// State of an endpoint as known to this VM.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// What settings say.
+    /// Settings.
     pub spec: EndpointSpec,
-    /// Whether settings still hold it; a slot is never used twice.
+    /// Whether it is still in the settings. The slot of a removed endpoint is not reused.
     pub present: bool,
-    /// Whether a connection stands.
+    /// Whether it is connected.
     pub connected: bool,
-    /// Health.
+    /// Health state.
     pub health: Health,
-    /// Learnt step times.
+    /// Estimated step times.
     pub cost: StepCost,
-    /// Requests of this VM that have it in their chain.
+    /// Requests of this VM that use it.
     pub requests: u32,
-    /// Requests that were added since the last load report.
+    /// Requests that this VM added since the last load report.
     pub added_since_report: u32,
-    /// Positions of prefills that this VM sent and that are not answered.
+    /// Positions of the prefills that this VM has sent and that are not answered yet.
     pub prefill_outstanding: u32,
-    /// Last reported load.
+    /// Last reported number of queued steps.
     pub queued: u32,
     /// Last reported number of requests held.
     pub held: u32,
@@ -51,12 +51,12 @@
     pub kv_free_tokens: Option<u32>,
     /// Last reported wait, in microseconds.
     pub wait_us: u32,
-    /// When the last report came.
+    /// When the last report was received.
     pub reported_at: Option<Instant>,
 }
 
 impl Endpoint {
-    /// An endpoint nothing is known of but its settings.
+    /// Creates an endpoint of which only the settings are known.
     pub fn new(spec: EndpointSpec, now: Instant) -> Self {
         Self {
             spec,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Requests it is believed to hold: the last report, and what this VM added since.
-    pub fn believed_held(&self) -> u32 {
+    /// Estimated number of requests held: the last reported number, and those that this VM added since.
+    pub fn estimated_held(&self) -> u32 {
         (self.held + self.added_since_report).max(self.requests)
     }
 }
--- a/crates/sillbank_routing/src/health.rs
+++ b/crates/sillbank_routing/src/health.rs
@@ -1,37 +1,37 @@
-//! Health of an endpoint: ejection, return and slow start, by the chart in `charts/endpoint.toml`.
+//! Health of an endpoint: outlier ejection, probing and slow start, as in the state chart `charts/endpoint.toml`.
 
 use sillbank_chart::{Chart, named_enum};
 use std::sync::LazyLock;
 use std::time::{Duration, Instant};
 
 named_enum! {
-    /// Where an endpoint stands, as this VM sees it.
+    /// Health state of an endpoint as seen by this VM.
     pub enum HealthState {
-        /// Takes work.
+        /// Receives its full share of requests.
         Active = "active",
-        /// Takes none until its time is over.
+        /// Receives no requests until a probe succeeds after the ejection time.
         Ejected = "ejected",
-        /// Takes a growing share.
+        /// In slow start: receives a growing share of requests.
         Returning = "returning",
-        /// Takes no new work; what it has may end.
+        /// Receives no new requests; those in flight may complete.
         Leaving = "leaving",
     }
 }
 
 named_enum! {
-    /// What can happen to an endpoint's health.
+    /// Events that change an endpoint's health.
     pub enum HealthEvent {
-        /// It died, froze or broke a promise.
+        /// It crashed, stopped responding or violated the protocol.
         Failure = "failure",
-        /// It answered a probe sent after its ejection.
+        /// It answered a probe sent after its ejection time.
         ProbeOk = "probe_ok",
         /// It did not answer a probe.
         ProbeFailed = "probe_failed",
-        /// Its slow start has lasted long enough.
+        /// Its slow start is over.
         SlowStartOver = "slow_start_over",
-        /// Settings, the platform or the endpoint itself says that it leaves.
+        /// Settings, the platform or the endpoint itself report that it is leaving.
         Leave = "leave",
-        /// It no longer leaves.
+        /// It is no longer leaving.
         Stay = "stay",
     }
 }
@@ -41,7 +41,7 @@
         Nothing = "nothing",
         Eject = "eject",
         EjectLonger = "eject_longer",
-        Forgive = "forgive",
+        ResetEjections = "forgive",
     }
 }
 
@@ -52,22 +52,22 @@
         .expect("the built-in chart is checked by a test")
 });
 
-/// Times that govern ejection and return.
+/// Durations of ejections and of the slow start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthLimits {
-    /// First ejection; each further one doubles.
-    pub eject: Duration,
+    /// Duration of the first ejection; each further one takes twice as long.
+    pub base_ejection: Duration,
     /// Longest ejection.
-    pub eject_max: Duration,
-    /// Length of the slow start.
+    pub max_ejection: Duration,
+    /// Duration of the slow start.
     pub slow_start: Duration,
 }
 
 impl Default for HealthLimits {
     fn default() -> Self {
         Self {
-            eject: Duration::from_millis(1000),
-            eject_max: Duration::from_secs(30),
+            base_ejection: Duration::from_millis(1000),
+            max_ejection: Duration::from_secs(30),
             slow_start: Duration::from_secs(5),
         }
     }
@@ -82,17 +82,17 @@
 }
 
 impl Health {
-    /// A healthy endpoint.
+    /// Creates the health of an endpoint that is active.
     pub fn new(now: Instant) -> Self {
         Self { state: CHART.initial(), since: now, ejections: 0 }
     }
 
-    /// Where it stands.
+    /// Returns the current state.
     pub fn state(&self) -> HealthState {
         self.state
     }
 
-    /// Takes an event.
+    /// Applies an event.
     pub fn on_event(&mut self, now: Instant, event: HealthEvent) {
         let Some(transition) = CHART.step(self.state, event) else {
             return;
@@ -107,26 +107,26 @@
                 self.ejections += 1;
                 self.since = now;
             }
-            HealthAction::Forgive => self.ejections = 0,
+            HealthAction::ResetEjections => self.ejections = 0,
             HealthAction::Nothing => {}
         }
     }
 
-    /// Raises the events that time alone brings.
-    pub fn on_time(&mut self, now: Instant, limits: &HealthLimits) {
+    /// Ends the slow start when its time is over.
+    pub fn on_tick(&mut self, now: Instant, limits: &HealthLimits) {
         let passed = now.saturating_duration_since(self.since);
         if self.state == HealthState::Returning && passed >= limits.slow_start {
             self.on_event(now, HealthEvent::SlowStartOver);
         }
     }
 
-    /// Whether its ejection has lasted long enough for a probe.
+    /// Whether the ejection time is over, so that a probe may be sent.
     pub fn probe_due(&self, now: Instant, limits: &HealthLimits) -> bool {
         let passed = now.saturating_duration_since(self.since);
-        self.state == HealthState::Ejected && passed >= self.eject_time(limits)
+        self.state == HealthState::Ejected && passed >= self.ejection_time(limits)
     }
 
-    /// Share of its ordinary work it should get, from 0 to 1.
+    /// Share of its usual requests that it should receive, from 0 to 1.
     pub fn share(&self, now: Instant, limits: &HealthLimits) -> f64 {
         match self.state {
             HealthState::Active => 1.0,
@@ -138,8 +138,8 @@
         }
     }
 
-    fn eject_time(&self, limits: &HealthLimits) -> Duration {
+    fn ejection_time(&self, limits: &HealthLimits) -> Duration {
         let doublings = self.ejections.saturating_sub(1).min(16);
-        limits.eject.saturating_mul(1 << doublings).min(limits.eject_max)
+        limits.base_ejection.saturating_mul(1 << doublings).min(limits.max_ejection)
     }
 }
--- a/crates/sillbank_routing/src/lib.rs
+++ b/crates/sillbank_routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which endpoints serve a request, and which are to be left alone.
+//! Endpoint health and the choice of the endpoints that serve a request.
 //!
-//! Pure: no sockets, no clock, no threads. Time comes in as [`std::time::Instant`], chance as a
-//! seeded generator.
+//! Uses no sockets, clocks or threads: callers pass in the time as [`std::time::Instant`] and a seeded random
+//! number generator.
 
 #![forbid(unsafe_code)]
 
@@ -12,7 +12,7 @@
 pub mod subset;
 pub mod table;
 
-/// The few types most users need.
+/// The types that most users need.
 pub mod prelude {
     pub use crate::chain::{AnyPolicy, ChainLink, ChainPolicy, ChainRequest, choose_chain};
     pub use crate::endpoint::{Endpoint, EndpointSpec};
--- a/crates/sillbank_routing/src/table.rs
+++ b/crates/sillbank_routing/src/table.rs
@@ -1,4 +1,4 @@
-//! All generation endpoints one VM knows.
+//! All generation endpoints that a VM knows.
 
 use crate::chain::{ChainLink, ChainRequest};
 use crate::endpoint::{Endpoint, EndpointSpec};
@@ -7,10 +7,10 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Place of an endpoint in the table; never used for another endpoint.
+/// Index of an endpoint in the table; never reused for another endpoint.
 pub type EndpointSlot = u32;
 
-/// Endpoints by slot.
+/// Table of endpoints, indexed by slot.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     endpoints: Vec<Endpoint>,
@@ -20,28 +20,28 @@
 }
 
 impl EndpointTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: HealthLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// The endpoint in a slot.
+    /// Returns the endpoint in a slot.
     pub fn get(&self, slot: EndpointSlot) -> &Endpoint {
         &self.endpoints[slot as usize]
     }
 
-    /// The endpoint in a slot, to change it.
+    /// Returns the endpoint in a slot for modification.
     pub fn get_mut(&mut self, slot: EndpointSlot) -> &mut Endpoint {
         &mut self.endpoints[slot as usize]
     }
 
-    /// All slots and endpoints.
+    /// Iterates over all slots and their endpoints, including removed ones.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointSlot, &Endpoint)> {
         self.endpoints.iter().enumerate().map(|(slot, endpoint)| (slot as EndpointSlot, endpoint))
     }
 
-    /// Takes what settings say of an endpoint. Returns the slot that needs a connection, if the
-    /// endpoint is new or has moved.
+    /// Inserts or updates an endpoint. Returns the slot that needs a connection, if the endpoint is new or its
+    /// address, layers or pipeline have changed.
     pub fn upsert(&mut self, spec: EndpointSpec, now: Instant) -> Option<EndpointSlot> {
         if let Some(slot) = self.by_id.get(&spec.id).copied() {
             let old = self.get_mut(slot);
@@ -59,7 +59,7 @@
         Some(self.insert(spec, now))
     }
 
-    /// Takes an endpoint out; its slot stays, so that what is in flight can still be told apart.
+    /// Removes an endpoint. Its slot is kept, so that requests in flight still refer to it.
     pub fn remove(&mut self, id: &str, now: Instant) -> Option<EndpointSlot> {
         let slot = self.by_id.remove(id)?;
         let endpoint = self.get_mut(slot);
@@ -72,20 +72,20 @@
         Some(slot)
     }
 
-    /// Raises the health events that time alone brings.
-    pub fn on_time(&mut self, now: Instant) {
+    /// Ends slow starts whose time is over.
+    pub fn on_tick(&mut self, now: Instant) {
         for endpoint in &mut self.endpoints {
-            endpoint.health.on_time(now, &self.limits);
+            endpoint.health.on_tick(now, &self.limits);
         }
     }
 
-    /// Ejected endpoints whose time for a probe has come.
+    /// Returns the ejected endpoints that are due for a probe.
     pub fn probes_due(&self, now: Instant) -> Vec<EndpointSlot> {
         let due = |endpoint: &Endpoint| endpoint.health.probe_due(now, &self.limits);
         self.iter().filter(|(_, endpoint)| due(endpoint)).map(|(slot, _)| slot).collect()
     }
 
-    /// Endpoints that may take a request, with the share of ordinary work each should get.
+    /// Returns the endpoints that may serve a request, each with the share of its usual requests it should receive.
     pub fn candidates(
         &self,
         request: &ChainRequest<'_>,
@@ -96,18 +96,18 @@
         slots
             .iter()
             .copied()
-            .filter(|slot| Some(*slot) != request.except)
+            .filter(|slot| Some(*slot) != request.excluded)
             .filter_map(|slot| Some((slot, self.share(slot, request.kv_tokens, now, last_resort)?)))
             .collect()
     }
 
-    /// Steps that wait for each one in a batch, at the fullest engine of a chain.
+    /// Returns the ratio of queued steps to steps in a batch at the engine of a chain where it is highest.
     pub fn backlog(&self, chain: &[ChainLink]) -> f64 {
         let backlogs = chain.iter().map(|link| self.get(link.endpoint).cost.backlog());
         backlogs.fold(0.0, f64::max)
     }
 
-    /// When a request on a chain is predicted to end, from now; unknown while an endpoint is.
+    /// Predicts how long a request takes on a chain, or returns `None` if an endpoint of it has no measurements.
     pub fn predict(&self, chain: &[ChainLink], prompt: u32, tokens: u32) -> Option<Duration> {
         let mut token_us = 0.0;
         let mut prompt_us = 0.0;
--- a/crates/sillbank_routing/tests/routing.rs
+++ b/crates/sillbank_routing/tests/routing.rs
@@ -1,9 +1,9 @@
-//! Which endpoints serve a request.
+//! Endpoint health and the choice of chains.
 #![allow(clippy::unwrap_used)]
 
 use sillbank_core::prelude::*;
 use sillbank_protocol::engine::EngineLoad;
-use sillbank_routing::chain::LeastFinish;
+use sillbank_routing::chain::EarliestFinish;
 use sillbank_routing::prelude::*;
 use sillbank_testing::for_fixed_seeds;
 use std::time::{Duration, Instant};
@@ -41,17 +41,18 @@
         kv_tokens: 10,
         prefill_tokens: 4,
         tokens: 6,
-        except: None,
+        excluded: None,
     }
 }
 
 fn choose(table: &EndpointTable, now: Instant) -> Option<Vec<ChainLink>> {
     let mut rng = fastrand::Rng::with_seed(1);
-    choose_chain(table, &request(), &mut LeastFinish, now, &mut rng)
+    choose_chain(table, &request(), &mut EarliestFinish, now, &mut rng)
 }
 
+/// A chain is found whenever one exists, and it covers each layer once, in order, by endpoints that hold it.
 #[test]
-fn every_chosen_chain_covers_all_layers_once_and_in_order() {
+fn chosen_chain_covers_each_layer_once_in_order() {
     let now = Instant::now();
     for_fixed_seeds(200, 256, |u| {
         let mut specs = Vec::new();
@@ -88,8 +89,9 @@
     });
 }
 
+/// An ejected endpoint is used only if all others are ejected too.
 #[test]
-fn an_ejected_endpoint_is_used_only_if_there_is_no_other() {
+fn ejected_endpoint_is_used_only_as_last_resort() {
     let now = Instant::now();
     let mut table = table(&[spec("a", 0, 6), spec("b", 0, 6)], now);
     table.get_mut(0).health.on_event(now, HealthEvent::Failure);
@@ -102,8 +104,9 @@
     assert!(without_other.is_some(), "a hall never ejects itself empty");
 }
 
+/// A leaving endpoint receives no new requests, even if there is no other.
 #[test]
-fn a_leaving_endpoint_gets_no_new_work_even_if_there_is_no_other() {
+fn leaving_endpoint_is_never_chosen() {
     let now = Instant::now();
     let mut table = table(&[spec("a", 0, 6)], now);
     table.upsert(EndpointSpec { leaving: true, ..spec("a", 0, 6) }, now);
@@ -111,8 +114,9 @@
     assert_eq!(choose(&table, now), None);
 }
 
+/// The faster endpoint is chosen, until many requests were added to it since its last load report.
 #[test]
-fn a_quicker_endpoint_is_preferred_and_requests_since_its_report_count() {
+fn faster_endpoint_is_preferred_until_requests_were_added() {
     let now = Instant::now();
     let mut table = table(&[spec("slow", 0, 6), spec("quick", 0, 6)], now);
     for _ in 0..50 {
@@ -127,8 +131,9 @@
     assert_eq!((first, later), (1, 0));
 }
 
+/// An endpoint with too little free KV cache for the request is not chosen if there is another.
 #[test]
-fn an_endpoint_without_room_for_the_request_is_left_alone() {
+fn endpoint_without_free_kv_cache_is_avoided() {
     let now = Instant::now();
     let mut table = table(&[spec("full", 0, 6), spec("free", 0, 6)], now);
     table.get_mut(0).kv_free_tokens = Some(9);
@@ -136,14 +141,15 @@
     assert_eq!(choose(&table, now).unwrap()[0].endpoint, 1);
 }
 
+/// An ejected endpoint returns after a successful probe and receives a growing share during its slow start.
 #[test]
-fn an_ejected_endpoint_comes_back_by_a_probe_and_slowly() {
+fn ejected_endpoint_returns_by_probe_and_slow_start() {
     let limits = HealthLimits::default();
     let start = Instant::now();
     let mut health = Health::new(start);
     health.on_event(start, HealthEvent::Failure);
     assert!(!health.probe_due(start, &limits));
-    let due = start + limits.eject;
+    let due = start + limits.base_ejection;
     assert!(health.probe_due(due, &limits));
 
     health.on_event(due, HealthEvent::ProbeOk);
@@ -151,12 +157,13 @@
     assert_eq!(health.state(), HealthState::Returning);
     assert!(health.share(due, &limits) < 0.2);
     let later = due + limits.slow_start;
-    health.on_time(later, &limits);
+    health.on_tick(later, &limits);
     assert_eq!(health.state(), HealthState::Active);
 }
 
+/// Each failed probe doubles the ejection time, up to its limit.
 #[test]
-fn a_failed_probe_doubles_the_wait_up_to_its_bound() {
+fn failed_probe_doubles_ejection_up_to_the_limit() {
     let limits = HealthLimits::default();
     let mut now = Instant::now();
     let mut health = Health::new(now);
@@ -172,11 +179,12 @@
     }
 
     assert!(waits.windows(2).all(|pair| pair[1] >= pair[0]), "{waits:?}");
-    assert_eq!(waits[7], limits.eject_max);
+    assert_eq!(waits[7], limits.max_ejection);
 }
 
+/// Outstanding prefills make an endpoint more expensive and extend the time that it may stay silent.
 #[test]
-fn an_endpoint_with_prefills_outstanding_is_neither_preferred_nor_taken_for_silent() {
+fn outstanding_prefills_raise_cost_and_silence_limit() {
     let now = Instant::now();
     let mut table = table(&[spec("busy", 0, 6), spec("free", 0, 6)], now);
     for slot in [0, 1] {
@@ -195,8 +203,9 @@
     assert!(limit > Duration::from_secs(2), "2000 positions take 2 s: {limit:?}");
 }
 
+/// An endpoint whose address changes gets a new slot, and the old slot is no longer present.
 #[test]
-fn a_moved_endpoint_gets_a_new_slot() {
+fn endpoint_with_new_address_gets_a_new_slot() {
     let now = Instant::now();
     let mut table = table(&[spec("a", 0, 6)], now);
 
@@ -207,8 +216,9 @@
     assert!(!table.get(0).present);
 }
 
+/// The time that an endpoint may stay silent depends on its own usual step time.
 #[test]
-fn a_silent_endpoint_is_judged_by_its_own_step_time() {
+fn silence_limit_follows_step_time_of_the_endpoint() {
     let ceiling = Duration::from_secs(1);
     let mut table = table(&[spec("quick", 0, 6), spec("slow", 0, 6)], Instant::now());
     for _ in 0..50 {
--- a/crates/sillbank_routing/tests/subset.rs
+++ b/crates/sillbank_routing/tests/subset.rs
@@ -1,26 +1,32 @@
-//! The few endpoints that each VM keeps to.
+//! Subsets of the endpoints that each VM uses.
 
-use sillbank_routing::subset::Few;
+use sillbank_routing::subset::EndpointSubset;
 use sillbank_testing::for_fixed_seeds;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-const AT_REST: usize = 3;
+const BASE_SIZE: usize = 3;
 
 fn names(prefix: &str, salt: u32, count: usize) -> Vec<String> {
     (0..count).map(|number| format!("{prefix}-{salt:x}-{number}")).collect()
 }
 
-fn members<'a>(few: &mut Few, vm: &str, endpoints: &'a [String], now: Instant) -> Vec<&'a str> {
-    few.members(vm, endpoints.iter().map(String::as_str), now)
+fn members<'a>(
+    subset: &mut EndpointSubset,
+    vm: &str,
+    endpoints: &'a [String],
+    now: Instant,
+) -> Vec<&'a str> {
+    subset.members(vm, endpoints.iter().map(String::as_str), now)
 }
 
-fn at_rest<'a>(vm: &str, endpoints: &'a [String]) -> Vec<&'a str> {
-    members(&mut Few::new(AT_REST), vm, endpoints, Instant::now())
+fn base_subset<'a>(vm: &str, endpoints: &'a [String]) -> Vec<&'a str> {
+    members(&mut EndpointSubset::new(BASE_SIZE), vm, endpoints, Instant::now())
 }
 
+/// Every endpoint is in the subsets of about the same number of VMs.
 #[test]
-fn vms_keep_to_endpoints_about_evenly() {
+fn subsets_spread_evenly_over_endpoints() {
     for_fixed_seeds(20, 64, |u| {
         let salt = u.arbitrary()?;
         let vms = names("vm", salt, 300);
@@ -28,11 +34,13 @@
 
         let mut kept: BTreeMap<&str, usize> = BTreeMap::new();
         for vm in &vms {
-            at_rest(vm, &endpoints).into_iter().for_each(|id| *kept.entry(id).or_default() += 1);
+            base_subset(vm, &endpoints)
+                .into_iter()
+                .for_each(|id| *kept.entry(id).or_default() += 1);
         }
 
-        // The number at an endpoint is spread by chance, as the root of its mean: five deviations.
-        let mean = (vms.len() * AT_REST) as f64 / endpoints.len() as f64;
+        // The standard deviation of the number of VMs at an endpoint is the root of its mean; five of them are allowed.
+        let mean = (vms.len() * BASE_SIZE) as f64 / endpoints.len() as f64;
         let bounds = mean - 5.0 * mean.sqrt()..=mean + 5.0 * mean.sqrt();
         assert_eq!(kept.len(), endpoints.len());
         assert!(kept.values().all(|count| bounds.contains(&(*count as f64))), "{mean}: {kept:?}");
@@ -40,8 +48,9 @@
     });
 }
 
+/// Adding or removing an endpoint replaces at most one member of each subset and keeps the order of the others.
 #[test]
-fn an_endpoint_that_goes_or_comes_changes_one_member_at_most() {
+fn adding_or_removing_an_endpoint_changes_at_most_one_member() {
     for_fixed_seeds(100, 64, |u| {
         let salt = u.arbitrary()?;
         let endpoints = names("e", salt, u.int_in_range(4..=40)?);
@@ -50,60 +59,63 @@
         let gone = fewer.remove(gone);
 
         for vm in names("vm", salt, 20) {
-            let [before, after] = [at_rest(&vm, &endpoints), at_rest(&vm, &fewer)];
+            let [before, after] = [base_subset(&vm, &endpoints), base_subset(&vm, &fewer)];
             let stay: Vec<&str> = before.iter().copied().filter(|id| *id != gone).collect();
             assert_eq!(after[..stay.len()], stay[..]);
-            assert_eq!(after.len(), AT_REST);
+            assert_eq!(after.len(), BASE_SIZE);
         }
         Ok(())
     });
 }
 
+/// Pressure doubles the subset at most once per interval, and former members stay first.
 #[test]
-fn under_pressure_a_vm_keeps_to_more_and_still_to_those_it_had() {
+fn pressure_widens_the_subset_and_keeps_its_members() {
     let now = Instant::now();
     let endpoints = names("e", 1, 40);
-    let mut few = Few::new(AT_REST);
-    let before = members(&mut few, "vm", &endpoints, now);
-
-    few.on_pressure(now);
-    few.on_pressure(now);
-    let once = members(&mut few, "vm", &endpoints, now);
-    few.on_pressure(now + Duration::from_millis(200));
-    let twice = members(&mut few, "vm", &endpoints, now + Duration::from_millis(200));
-
-    assert_eq!([once.len(), twice.len()], [2 * AT_REST, 4 * AT_REST]);
-    assert_eq!(once[..AT_REST], before[..]);
-    assert_eq!(twice[..2 * AT_REST], once[..]);
+    let mut subset = EndpointSubset::new(BASE_SIZE);
+    let before = members(&mut subset, "vm", &endpoints, now);
+
+    subset.on_pressure(now);
+    subset.on_pressure(now);
+    let once = members(&mut subset, "vm", &endpoints, now);
+    subset.on_pressure(now + Duration::from_millis(200));
+    let twice = members(&mut subset, "vm", &endpoints, now + Duration::from_millis(200));
+
+    assert_eq!([once.len(), twice.len()], [2 * BASE_SIZE, 4 * BASE_SIZE]);
+    assert_eq!(once[..BASE_SIZE], before[..]);
+    assert_eq!(twice[..2 * BASE_SIZE], once[..]);
 }
 
+/// Without pressure the subset is halved step by step, down to its base size.
 #[test]
-fn when_it_is_quiet_a_vm_narrows_step_by_step() {
+fn subset_narrows_stepwise_without_pressure() {
     let now = Instant::now();
-    let mut few = Few::new(AT_REST);
-    few.on_pressure(now);
-    few.on_pressure(now + Duration::from_secs(1));
+    let mut subset = EndpointSubset::new(BASE_SIZE);
+    subset.on_pressure(now);
+    subset.on_pressure(now + Duration::from_secs(1));
 
-    let counts = [5, 12, 25].map(|s| few.count(now + Duration::from_secs(s)));
+    let counts = [5, 12, 25].map(|s| subset.size(now + Duration::from_secs(s)));
 
-    assert_eq!(counts, [4 * AT_REST, 2 * AT_REST, AT_REST]);
+    assert_eq!(counts, [4 * BASE_SIZE, 2 * BASE_SIZE, BASE_SIZE]);
 }
 
+/// After any history a subset has at least one member, if there are endpoints, and no more than there are.
 #[test]
-fn any_history_keeps_to_at_least_one_and_to_no_more_than_there_are() {
+fn subset_size_stays_between_one_and_all_endpoints() {
     for_fixed_seeds(100, 256, |u| {
-        let at_rest = *u.choose(&[0, 1, 3, usize::MAX])?;
+        let base_size = *u.choose(&[0, 1, 3, usize::MAX])?;
         let endpoints = names("e", 2, u.int_in_range(0..=10)?);
-        let mut few = Few::new(at_rest);
+        let mut subset = EndpointSubset::new(base_size);
         let mut now = Instant::now();
         while !u.is_empty() {
             now += Duration::from_millis(u.int_in_range(0..=30_000)?);
             if u.arbitrary()? {
-                few.on_pressure(now);
+                subset.on_pressure(now);
             }
-            let kept = members(&mut few, "vm", &endpoints, now).len();
-            assert!(kept >= endpoints.len().min(1) && kept <= endpoints.len());
-            assert!(few.count(now) >= 1);
+            let used = members(&mut subset, "vm", &endpoints, now).len();
+            assert!(used >= endpoints.len().min(1) && used <= endpoints.len());
+            assert!(subset.size(now) >= 1);
         }
         Ok(())
     });
