--- a/crates/sillbank_entry/src/drive.rs
+++ b/crates/sillbank_entry/src/drive.rs
@@ -290,7 +290,7 @@
     }
 
     fn report(&self) {
-        let tally = self.generation.tally();
+        let tally = self.generation.stats();
         let metrics = &self.entry.metrics;
         metrics.replayed_tokens.inc_by(u64::from(tally.replayed_tokens));
         metrics.stages_lost.inc_by(u64::from(tally.losses));
--- a/crates/sillbank_generation/src/chart.rs
+++ b/crates/sillbank_generation/src/chart.rs
@@ -1,20 +1,20 @@
-//! The chart of a generation: names, and the file they are read from.
+//! State chart of a generation, read from `charts/generation.toml`.
 
 use sillbank_chart::{Chart, named_enum};
 use std::sync::LazyLock;
 
 named_enum! {
-    /// Where a generation stands.
+    /// State of a generation.
     pub enum State {
-        /// A step is on its way, or about to be.
+        /// A step is in flight or about to be sent.
         Running = "running",
-        /// A stage waits for another endpoint.
+        /// At least one lost stage has no endpoint yet.
         Recovering = "recovering",
-        /// The answer is whole.
+        /// The answer is complete.
         Finished = "finished",
-        /// The caller was given a failure.
+        /// The request failed.
         Failed = "failed",
-        /// The caller has gone.
+        /// The caller disconnected.
         Cancelled = "cancelled",
     }
 }
@@ -22,7 +22,7 @@
 named_enum! {
     pub(crate) enum ChartEvent {
         Start = "start",
-        AlreadyWhole = "already_whole",
+        AlreadyComplete = "already_whole",
         Output = "output",
         LastOutput = "last_output",
         Stale = "stale",
@@ -33,7 +33,7 @@
         ReplacedAll = "replaced_all",
         NoReplacement = "no_replacement",
         BudgetSpent = "budget_spent",
-        OlderHolder = "older_holder",
+        AttemptTooLow = "older_holder",
         TakenOver = "taken_over",
         Deadline = "deadline",
         Cancel = "cancel",
--- a/crates/sillbank_generation/src/lib.rs
+++ b/crates/sillbank_generation/src/lib.rs
@@ -1,11 +1,11 @@
-//! The life of one generated answer, apart from sockets, clocks and threads.
+//! State machine of the generation of one answer, without sockets, clocks or threads.
 //!
-//! [`Generation`] takes [`Event`]s and answers with [`Action`]s. It knows the stages of its chain
-//! only by number; the driver knows which endpoint stands behind each.
+//! [`Generation`] consumes [`Event`]s and returns [`Action`]s. It knows the stages of its chain only by index;
+//! the driver maps each stage to an endpoint.
 //!
-//! The rule that carries prefill, decoding and recovery alike: the next step goes to the first
-//! stage that has built fewer positions than it has inputs for. A replaced stage has built none,
-//! so its KV cache is rebuilt from the inputs that were kept, and no other stage runs again.
+//! One rule covers prefill, decoding and recovery: the next step goes to the first stage that has built fewer
+//! positions than it has inputs. A replaced stage has built none, so its KV cache is rebuilt from the inputs that
+//! were kept, and no other stage runs again.
 
 #![forbid(unsafe_code)]
 
@@ -23,102 +23,102 @@
 use sillbank_protocol::engine::{Refusal, Step, StepOutcome, StepReply};
 use stages::Stages;
 
-/// Number of a stage in its chain.
+/// Index of a stage in its chain.
 pub type StageIndex = usize;
 
-/// What is asked of a generation.
+/// Parameters of a generation.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The request.
+    /// Id of the request.
     pub uid: RequestUid,
-    /// First attempt number.
+    /// Number of the first attempt.
     pub attempt: Attempt,
     /// Seed for sampling.
     pub seed: u64,
-    /// Greater goes first.
+    /// Priority; steps with a greater value run first.
     pub priority: u8,
-    /// Prompt tokens.
+    /// Tokens of the prompt.
     pub prompt: Vec<TokenId>,
-    /// Tokens of the answer that are known from an earlier VM.
+    /// Tokens of the answer that another VM has already generated.
     pub known: Vec<TokenId>,
-    /// Tokens of the answer that the caller already has and does not get again.
+    /// Number of answer tokens that the caller already has; they are not delivered again.
     pub delivered_tokens: u32,
-    /// Longest answer.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u32,
     /// Token that ends the answer.
     pub end_token: TokenId,
     /// Layers of each stage, in order.
     pub stages: Vec<LayerRange>,
-    /// How many stages may be lost before the request is given up.
+    /// Number of stage losses after which the request fails.
     pub max_losses: u32,
 }
 
-/// What happens to a generation.
+/// Input of a generation.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The chain is ready.
+    /// The chain is ready to run.
     Start,
-    /// An engine answered a step.
+    /// An engine replied to a step.
     Reply(StageIndex, StepReply),
-    /// A reply is late although its endpoint answers others: it may have been lost.
+    /// A reply is overdue although its endpoint answers other steps; it may have been lost.
     StepOverdue(StageIndex),
-    /// A stage is to be replaced: its endpoint died, froze, or refused for want of room.
+    /// A stage must be replaced: its endpoint crashed, stopped responding or has no capacity.
     StageLost(StageIndex),
-    /// Another endpoint stands behind the stage.
+    /// Another endpoint has been assigned to the stage.
     Replaced(StageIndex),
-    /// No other endpoint can take the stage.
+    /// No other endpoint can run the stage.
     NoReplacement,
-    /// The deadline passed.
+    /// The deadline of the request passed.
     Deadline,
-    /// The caller has gone.
+    /// The caller disconnected.
     Cancel,
 }
 
-/// What the driver has to do.
+/// Output of a generation, to be carried out by the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a step to the endpoint of a stage.
     Send(StageIndex, Step),
-    /// Give the caller the token with this number in the answer, from 0.
+    /// Deliver a token to the caller, with its index in the answer.
     Emit(u32, TokenId),
-    /// Find another endpoint for a stage, then report `Replaced` or `NoReplacement`.
+    /// Find another endpoint for a stage, then report [`Event::Replaced`] or [`Event::NoReplacement`].
     Replace(StageIndex),
-    /// The answer is whole.
+    /// Complete the answer.
     Finish,
-    /// Give the caller this failure.
+    /// Return this failure to the caller.
     Fail(Failure),
-    /// Tell the endpoint of a stage that the request has ended.
+    /// Notify the endpoint of a stage that the request has ended.
     Release(StageIndex),
 }
 
-/// Work done and done again, for reports.
+/// Counters of the work done and repeated, for reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct GenerationStats {
     /// Steps sent.
     pub steps: u32,
     /// Stages lost.
     pub losses: u32,
-    /// Positions that had been built and were built again.
+    /// Positions lost with their stage, to be built again.
     pub replayed_tokens: u32,
-    /// Replies that belonged to an attempt or position that was no longer asked for.
+    /// Replies and overdue reports for an attempt or position that was no longer awaited.
     pub stale_replies: u32,
 }
 
-/// One generated answer.
+/// Generation of one answer.
 #[derive(Debug)]
 pub struct Generation {
     plan: Plan,
     state: State,
     attempt: Attempt,
     stages: Stages,
-    waiting_for: Option<(StageIndex, Position, u32)>,
+    awaited: Option<(StageIndex, Position, u32)>,
     sequence: Vec<TokenId>,
     run: RunLog,
-    tally: Tally,
+    stats: GenerationStats,
 }
 
 impl Generation {
-    /// A generation that waits for [`Event::Start`].
+    /// Creates a generation that waits for [`Event::Start`].
     pub fn new(plan: Plan) -> Self {
         let mut sequence = plan.prompt.clone();
         sequence.extend(&plan.known);
@@ -127,63 +127,63 @@
             attempt: plan.attempt,
             state: chart::chart().initial(),
             stages,
-            waiting_for: None,
+            awaited: None,
             sequence,
             run: RunLog::default(),
-            tally: Tally::default(),
+            stats: GenerationStats::default(),
             plan,
         }
     }
 
-    /// Where it stands.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Work done so far.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    /// Returns the counters so far.
+    pub fn stats(&self) -> GenerationStats {
+        self.stats
     }
 
-    /// What may be told to the caller of the work so far.
+    /// Returns the run state to report to the caller.
     pub fn run_state(&self) -> RunState {
         self.run.state()
     }
 
-    /// Current attempt number.
+    /// Returns the number of the current attempt.
     pub fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// Tokens of the answer so far.
+    /// Returns the tokens of the answer so far.
     pub fn answer(&self) -> &[TokenId] {
         &self.sequence[self.plan.prompt.len()..]
     }
 
-    /// Positions of the whole sequence so far, prompt included.
+    /// Returns the length of the sequence so far, including the prompt.
     pub fn sequence_len(&self) -> u32 {
         self.sequence.len() as u32
     }
 
-    /// Most tokens that are still to come.
+    /// Returns the maximum number of tokens still to generate.
     pub fn tokens_left(&self) -> u32 {
         self.plan.max_tokens.saturating_sub(self.answer().len() as u32)
     }
 
-    /// The stage whose reply is awaited, if any.
+    /// Returns the stage whose reply is awaited, if any.
     pub fn awaited_stage(&self) -> Option<StageIndex> {
-        self.waiting_for.map(|(stage, ..)| stage)
+        self.awaited.map(|(stage, ..)| stage)
     }
 
-    /// Whether the answer has ended, well or not.
+    /// Whether the generation has finished, failed or been cancelled.
     pub fn is_over(&self) -> bool {
         matches!(self.state, State::Finished | State::Failed | State::Cancelled)
     }
 
-    /// Takes an event and adds what is to be done about it.
+    /// Handles an event and appends the resulting actions.
     pub fn on_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         if matches!((&event, self.state), (Event::Start, State::Running)) {
-            self.emit_known(actions);
+            self.emit_undelivered(actions);
         }
         let named = self.classify(&event);
         let chart: &GenerationChart = chart::chart();
@@ -191,19 +191,19 @@
             return;
         };
         self.state = transition.to;
-        self.carry_out(transition.action, event, actions);
+        self.perform(transition.action, event, actions);
     }
 
     fn classify(&mut self, event: &Event) -> ChartEvent {
         match event {
-            Event::Start if self.is_whole() => ChartEvent::AlreadyWhole,
+            Event::Start if self.is_complete() => ChartEvent::AlreadyComplete,
             Event::Start => ChartEvent::Start,
             Event::Reply(stage, reply) => self.classify_reply(*stage, reply),
             Event::StepOverdue(stage) if self.awaited_stage() != Some(*stage) => self.stale(),
             Event::StepOverdue(_) => ChartEvent::StepOverdue,
             Event::StageLost(_) => self.within_budget(ChartEvent::StageLost),
             Event::Replaced(stage) => {
-                self.stages.replaced(*stage);
+                self.stages.mark_replaced(*stage);
                 match self.stages.any_missing() {
                     true => ChartEvent::Replaced,
                     false => ChartEvent::ReplacedAll,
@@ -216,20 +216,20 @@
     }
 
     fn classify_reply(&mut self, stage: StageIndex, reply: &StepReply) -> ChartEvent {
-        let Some((waited_stage, start, count)) = self.waiting_for else {
+        let Some((awaited_stage, start, count)) = self.awaited else {
             return self.stale();
         };
-        if (stage, reply.start, reply.attempt) != (waited_stage, start, self.attempt) {
+        if (stage, reply.start, reply.attempt) != (awaited_stage, start, self.attempt) {
             return self.stale();
         }
         match &reply.outcome {
             StepOutcome::Done { outputs, token } => {
-                let whole = outputs.len() == count as usize;
-                if !whole || (self.stages.is_last(stage) && token.is_none()) {
+                let complete = outputs.len() == count as usize;
+                if !complete || (self.stages.is_last(stage) && token.is_none()) {
                     return self.within_budget(ChartEvent::StateLost);
                 }
                 self.run.record_ran();
-                match self.ends_with(stage, *token) {
+                match self.completes_answer(stage, *token) {
                     true => ChartEvent::LastOutput,
                     false => ChartEvent::Output,
                 }
@@ -237,11 +237,11 @@
             StepOutcome::Refused(refusal) => {
                 self.run.record_refused();
                 match refusal {
-                    // Who has built nothing yet is the newcomer and goes above; who has built
-                    // something was taken over, and stays fenced out.
+                    // A generation that has run nothing yet is the newer one and raises its attempt. One
+                    // that has run something was taken over and stays fenced out.
                     Refusal::StaleAttempt { newest } if !self.run.has_run() => {
-                        self.attempt = raise_above(*newest, self.attempt);
-                        ChartEvent::OlderHolder
+                        self.attempt = next_attempt(*newest, self.attempt);
+                        ChartEvent::AttemptTooLow
                     }
                     Refusal::StaleAttempt { .. } => ChartEvent::TakenOver,
                     Refusal::NotNext { .. } => self.within_budget(ChartEvent::StateLost),
@@ -254,26 +254,26 @@
     }
 
     fn within_budget(&self, event: ChartEvent) -> ChartEvent {
-        match self.tally.losses < self.plan.max_losses {
+        match self.stats.losses < self.plan.max_losses {
             true => event,
             false => ChartEvent::BudgetSpent,
         }
     }
 
     fn stale(&mut self) -> ChartEvent {
-        self.tally.stale_replies += 1;
+        self.stats.stale_replies += 1;
         ChartEvent::Stale
     }
 
-    /// Whether the answer is whole with this token. The last stage only gets work when every
-    /// stage before it has reached the end of the sequence, so its token is always a new one.
-    fn ends_with(&self, stage: StageIndex, token: Option<TokenId>) -> bool {
+    /// Whether this token completes the answer. The last stage receives work only when all stages before it have
+    /// reached the end of the sequence, so its token is always a new one.
+    fn completes_answer(&self, stage: StageIndex, token: Option<TokenId>) -> bool {
         let answered = self.answer().len() as u32 + 1;
         self.stages.is_last(stage)
             && (token == Some(self.plan.end_token) || answered >= self.plan.max_tokens)
     }
 
-    fn carry_out(&mut self, action: ChartAction, event: Event, actions: &mut Vec<Action>) {
+    fn perform(&mut self, action: ChartAction, event: Event, actions: &mut Vec<Action>) {
         match action {
             ChartAction::Nothing => {}
             ChartAction::SendNext => self.send_next(actions),
@@ -286,18 +286,18 @@
                 self.release_all(actions);
                 actions.push(Action::Finish);
             }
-            // The same step under the same attempt: an engine that ran it answers from memory.
+            // The same step under the same attempt: an engine that has run it repeats its stored reply.
             ChartAction::Resend => self.send_next(actions),
             ChartAction::RebuildStage => {
                 if let Event::Reply(stage, _) = event {
-                    self.lose(stage);
-                    self.stages.replaced(stage);
+                    self.discard_stage(stage);
+                    self.stages.mark_replaced(stage);
                 }
                 self.send_next(actions);
             }
             ChartAction::AskReplacement => {
                 if let Event::Reply(stage, _) | Event::StageLost(stage) = event {
-                    self.lose(stage);
+                    self.discard_stage(stage);
                     actions.push(Action::Replace(stage));
                 }
             }
@@ -314,9 +314,9 @@
             return;
         };
         let inputs = self.stages.inputs_from(stage, start).to_vec();
-        self.waiting_for = Some((stage, start, inputs.len() as u32));
+        self.awaited = Some((stage, start, inputs.len() as u32));
         self.run.record_sent();
-        self.tally.steps += 1;
+        self.stats.steps += 1;
         let step = Step {
             uid: self.plan.uid,
             attempt: self.attempt,
@@ -336,22 +336,22 @@
         let StepOutcome::Done { outputs, token } = reply.outcome else {
             return;
         };
-        self.waiting_for = None;
-        self.stages.built(stage, reply.start, &outputs);
+        self.awaited = None;
+        self.stages.record_outputs(stage, reply.start, &outputs);
         if let (true, Some(token)) = (self.stages.is_last(stage), token) {
             self.take_token(token, actions);
         }
     }
 
-    /// Gives the caller what an earlier VM had generated and the caller has not got.
-    fn emit_known(&mut self, actions: &mut Vec<Action>) {
+    /// Delivers the tokens that another VM had generated and the caller does not have.
+    fn emit_undelivered(&mut self, actions: &mut Vec<Action>) {
         let delivered = self.plan.delivered_tokens;
         let numbered = (0..).zip(self.answer().iter().copied());
         let missing = numbered.filter(|(number, _)| *number >= delivered);
         actions.extend(missing.map(|(number, token)| Action::Emit(number, token)));
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         let answer = self.answer();
         answer.last() == Some(&self.plan.end_token) || answer.len() as u32 >= self.plan.max_tokens
     }
@@ -365,11 +365,11 @@
         }
     }
 
-    /// Gives up the stage's KV cache and fences every step sent so far.
-    fn lose(&mut self, stage: StageIndex) {
-        self.tally.losses += 1;
-        self.tally.replayed_tokens += self.stages.lost(stage);
-        self.waiting_for = None;
+    /// Discards the KV cache of a stage and fences out every step sent so far.
+    fn discard_stage(&mut self, stage: StageIndex) {
+        self.stats.losses += 1;
+        self.stats.replayed_tokens += self.stages.mark_lost(stage);
+        self.awaited = None;
         self.attempt += ATTEMPT_INCREMENT;
     }
 
@@ -378,20 +378,20 @@
         let reason = format!(
             "The answer ended after {} tokens and {} lost stages, in state '{}'.",
             self.answer().len(),
-            self.tally.losses,
+            self.stats.losses,
             self.state.name(),
         );
         actions.push(Action::Fail(Failure::new(kind, self.run.state(), reason)));
     }
 
     fn release_all(&mut self, actions: &mut Vec<Action>) {
-        self.waiting_for = None;
+        self.awaited = None;
         actions.extend((0..self.stages.count()).map(Action::Release));
     }
 }
 
-/// The least number above another that keeps the draw of one's own.
-fn raise_above(newest: Attempt, own: Attempt) -> Attempt {
-    let draw = own % ATTEMPT_INCREMENT;
-    (newest / ATTEMPT_INCREMENT + 1) * ATTEMPT_INCREMENT + draw
+/// Returns the lowest attempt above `newest` that keeps the random bits of `own`.
+fn next_attempt(newest: Attempt, own: Attempt) -> Attempt {
+    let random_bits = own % ATTEMPT_INCREMENT;
+    (newest / ATTEMPT_INCREMENT + 1) * ATTEMPT_INCREMENT + random_bits
 }
--- a/crates/sillbank_generation/src/stages.rs
+++ b/crates/sillbank_generation/src/stages.rs
@@ -1,4 +1,4 @@
-//! What each stage of a chain has been given and has built.
+//! Inputs and progress of each stage of a chain.
 
 use crate::StageIndex;
 use sillbank_core::prelude::*;
@@ -11,7 +11,8 @@
     missing: bool,
 }
 
-/// Inputs kept for each stage, so that any one of them can be rebuilt alone.
+/// Stages of a chain. The inputs of each stage are kept, so that its KV cache can be rebuilt without running the
+/// other stages again.
 #[derive(Debug)]
 pub(crate) struct Stages {
     stages: Vec<Stage>,
@@ -43,7 +44,7 @@
         self.stages.iter().any(|stage| stage.missing)
     }
 
-    /// The first stage with inputs it has not built, and the position to go on from.
+    /// Returns the first stage with inputs that it has not run, and the position to continue from.
     pub(crate) fn next_work(&self) -> Option<(StageIndex, Position)> {
         let behind = |stage: &Stage| (stage.built as usize) < stage.inputs.len();
         let found = self.stages.iter().position(behind)?;
@@ -58,8 +59,8 @@
         self.stages[0].inputs.push(u64::from(token));
     }
 
-    /// Notes that a stage built positions; outputs the next stage lacks become its inputs.
-    pub(crate) fn built(&mut self, stage: StageIndex, start: Position, outputs: &[u64]) {
+    /// Records the outputs of a stage. Those that the next stage does not have yet become its inputs.
+    pub(crate) fn record_outputs(&mut self, stage: StageIndex, start: Position, outputs: &[u64]) {
         let end = start + outputs.len() as u32;
         self.stages[stage].built = end;
         if let Some(next) = self.stages.get_mut(stage + 1) {
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Marks a stage as missing; returns how many positions it had built.
-    pub(crate) fn lost(&mut self, stage: StageIndex) -> u32 {
+    /// Marks a stage as missing and returns how many positions it had built.
+    pub(crate) fn mark_lost(&mut self, stage: StageIndex) -> u32 {
         let stage = &mut self.stages[stage];
         stage.missing = true;
         std::mem::take(&mut stage.built)
     }
 
-    pub(crate) fn replaced(&mut self, stage: StageIndex) {
+    pub(crate) fn mark_replaced(&mut self, stage: StageIndex) {
         self.stages[stage].missing = false;
     }
 }
--- a/crates/sillbank_generation/tests/awaited.rs
+++ b/crates/sillbank_generation/tests/awaited.rs
@@ -1,11 +1,10 @@
-//! Which answer belongs to which awaited step.
+//! Matching of replies to awaited steps.
 //!
-//! What happens: an endpoint answers late a step that was given up, or answers twice one that was sent twice, while a
-//! newer step of the same request is on its way to it. Why it was a fault: the answer was matched by the request
-//! alone and took the newer step's place, whose own answer was then thrown away, and nobody waited any more: the
-//! caller got nothing until its deadline. What showed it: two requests that stayed in flight after one line
-//! "was silent for 152 ms; 2 stages are replaced", each with "expected": false in the entry's status and one more
-//! of sillbank_entry_stale_replies_total.
+//! An endpoint may answer an abandoned step late, or answer a step twice that was sent twice, while a newer step of
+//! the same request is in flight to it. If such a stale reply is matched by the request alone, it removes the newer
+//! step, whose own reply is then dropped, and the caller receives nothing until the deadline. This shows as requests
+//! that stay in flight after their stages were replaced, each with `"expected": false` in the status of the entry and
+//! one more of `sillbank_entry_stale_replies_total`.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,9 +22,9 @@
 const SEED: u64 = 11;
 /// Engines that hold the layers of each stage.
 const ENGINES: usize = 2;
-/// How late a step may be before it is sent again, in the model's time.
+/// Simulated time after which a step is sent again.
 const OVERDUE: Duration = Duration::from_millis(600);
-/// How much of the model's time passes with each disturbance.
+/// Simulated time that passes with each fault.
 const TICK: Duration = Duration::from_millis(100);
 
 fn step(attempt: Attempt, start: Position) -> Step {
@@ -39,24 +38,26 @@
     StepReply { uid: step.uid, attempt: step.attempt, start: step.start, outcome, load }
 }
 
+/// A late reply to an abandoned step does not remove the newer step of the same request.
 #[test]
-fn an_answer_to_a_step_that_was_given_up_leaves_the_new_step_awaited() {
+fn reply_to_an_abandoned_step_leaves_the_new_step_awaited() {
     let now = Instant::now();
-    let (given_up, new) = (step(5, 7), step(5 + ATTEMPT_INCREMENT, 0));
+    let (abandoned, new) = (step(5, 7), step(5 + ATTEMPT_INCREMENT, 0));
     let mut awaited = AwaitedSteps::default();
-    awaited.on_sent(0, &given_up, (), now);
+    awaited.on_sent(0, &abandoned, (), now);
     awaited.take_all();
     awaited.on_sent(0, &new, (), now);
 
-    let late = awaited.on_reply(&reply_to(&given_up));
+    let late = awaited.on_reply(&reply_to(&abandoned));
     let own = awaited.on_reply(&reply_to(&new));
 
-    assert!(late.is_none(), "the step was given up");
+    assert!(late.is_none(), "the step was abandoned");
     assert!(own.is_some(), "the new step is answered");
 }
 
+/// The second reply to a step that was sent twice does not remove the next step.
 #[test]
-fn a_second_answer_to_a_step_that_was_sent_twice_leaves_the_next_step_awaited() {
+fn second_reply_to_a_resent_step_leaves_the_next_step_awaited() {
     let now = Instant::now();
     let (sent_twice, next) = (step(5, 7), step(5, 8));
     let mut awaited = AwaitedSteps::default();
@@ -72,21 +73,23 @@
     assert!(awaited.awaits(execution_id(next.uid, next.attempt)), "the next step is awaited");
 }
 
+/// The positions of a prefill are counted from its send to its reply.
 #[test]
-fn prefills_count_until_they_are_answered() {
+fn prefill_positions_count_until_the_reply() {
     let now = Instant::now();
     let prefill = Step { inputs: vec![1; 40], ..step(5, 0) };
     let mut awaited = AwaitedSteps::default();
     awaited.on_sent(0, &prefill, (), now);
-    let on_the_way = awaited.prefill_positions();
+    let in_flight = awaited.prefill_positions();
 
     awaited.on_reply(&reply_to(&prefill));
 
-    assert_eq!((on_the_way, awaited.prefill_positions()), (40, 0));
+    assert_eq!((in_flight, awaited.prefill_positions()), (40, 0));
 }
 
+/// The time after which a step is sent again doubles with each resend.
 #[test]
-fn the_time_to_the_next_resend_doubles() {
+fn resend_limit_doubles() {
     let sent_at = Instant::now();
     let mut awaited = AwaitedSteps::default();
     awaited.on_sent(1, &step(5, 7), (), sent_at);
@@ -99,7 +102,7 @@
     assert_eq!(resent(&mut awaited, 2), 1);
 }
 
-/// One connection to an engine: what goes to it and what comes back keep their order.
+/// One connection to an engine. Steps and replies keep their order.
 struct Connection {
     engine: EngineCore,
     steps: VecDeque<Step>,
@@ -107,11 +110,11 @@
     awaited: AwaitedSteps<()>,
 }
 
-/// A generation whose events come through connections only, as they do in an entry.
+/// A generation whose events come only from connections, as in an entry.
 struct Entry {
     generation: Generation,
     connections: Vec<Vec<Connection>>,
-    behind: Vec<usize>,
+    active: Vec<usize>,
     emitted: Vec<TokenId>,
     now: Instant,
 }
@@ -142,7 +145,7 @@
     let of_stage = |layers| (0..ENGINES).map(|_| connection(layers)).collect();
     let connections: Vec<Vec<Connection>> = plan.stages.iter().map(of_stage).collect();
     Entry {
-        behind: vec![0; connections.len()],
+        active: vec![0; connections.len()],
         connections,
         generation: Generation::new(plan),
         emitted: Vec::new(),
@@ -151,22 +154,22 @@
 }
 
 impl Entry {
-    /// Takes an event. A lost stage goes to the engine `next`, which may be the one it was lost at.
-    fn take(&mut self, event: Event, next: usize) {
+    /// Handles an event. A lost stage is assigned to the engine `next`, which may be the one it was lost at.
+    fn handle(&mut self, event: Event, next: usize) {
         let mut actions = Vec::new();
         self.generation.on_event(event, &mut actions);
         for action in actions {
             let id = execution_id(RequestUid(3, 4), self.generation.attempt());
             match action {
                 Action::Send(stage, step) => {
-                    let connection = &mut self.connections[stage][self.behind[stage]];
+                    let connection = &mut self.connections[stage][self.active[stage]];
                     connection.awaited.on_sent(stage, &step, (), self.now);
                     connection.steps.push_back(step);
                 }
                 Action::Replace(stage) => {
-                    self.connections[stage][self.behind[stage]].awaited.take(id);
-                    self.behind[stage] = next;
-                    self.take(Event::Replaced(stage), next);
+                    self.connections[stage][self.active[stage]].awaited.take(id);
+                    self.active[stage] = next;
+                    self.handle(Event::Replaced(stage), next);
                 }
                 Action::Emit(_, token) => self.emitted.push(token),
                 Action::Finish | Action::Fail(_) | Action::Release(_) => {}
@@ -186,25 +189,25 @@
         let connection = &mut self.connections[stage][engine];
         let Some(reply) = connection.replies.pop_front() else { return };
         if let Some(step) = connection.awaited.on_reply(&reply) {
-            self.take(Event::Reply(step.stage, reply), engine);
+            self.handle(Event::Reply(step.stage, reply), engine);
         }
     }
 
     /// The endpoint is found silent, or its connection has closed.
     fn lose(&mut self, stage: StageIndex, engine: usize, next: usize) {
         for lost in self.connections[stage][engine].awaited.take_all() {
-            self.take(Event::StageLost(lost.stage), next);
+            self.handle(Event::StageLost(lost.stage), next);
         }
     }
 
     fn resend_overdue(&mut self, stage: StageIndex, engine: usize) {
         let overdue = self.connections[stage][engine].awaited.take_overdue(OVERDUE, self.now);
         for (stage, ()) in overdue {
-            self.take(Event::StepOverdue(stage), engine);
+            self.handle(Event::StepOverdue(stage), engine);
         }
     }
 
-    fn disturb(&mut self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+    fn inject_fault(&mut self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         self.now += TICK;
         let stage = u.choose_index(self.connections.len())?;
         let engine = u.choose_index(ENGINES)?;
@@ -217,7 +220,7 @@
                 self.lose(stage, engine, next);
             }
             _ => {
-                // Killed: what it held and what was on its way is gone.
+                // Crash: its state and the messages in flight are lost.
                 self.connections[stage][engine].engine.forget_all();
                 self.connections[stage][engine].steps.clear();
                 self.connections[stage][engine].replies.clear();
@@ -228,16 +231,16 @@
         Ok(())
     }
 
-    /// Whether some connection tells the generation what becomes of the step that it waits for.
-    fn is_watched(&self) -> bool {
+    /// Whether a connection tracks the step that the generation waits for.
+    fn is_tracked(&self) -> bool {
         let id = execution_id(RequestUid(3, 4), self.generation.attempt());
         let awaited =
-            |stage: StageIndex| self.connections[stage][self.behind[stage]].awaited.awaits(id);
+            |stage: StageIndex| self.connections[stage][self.active[stage]].awaited.awaits(id);
         self.generation.is_over() || self.generation.awaited_stage().is_some_and(awaited)
     }
 
-    /// No more disturbance: engines run, answers come, what is late is sent again.
-    fn settle(&mut self) {
+    /// Runs without further faults until the generation ends; overdue steps are sent again.
+    fn run_to_end(&mut self) {
         for _ in 0..10_000 {
             self.now += TICK;
             for stage in 0..self.connections.len() {
@@ -255,22 +258,22 @@
     }
 }
 
-/// Engines are late, are found silent, answer twice and die in any order; a lost stage goes to another engine or back
-/// to the same one. At each moment some connection watches for the step that the generation waits for.
+/// Engines reply late or twice, are found silent and crash, in any order, and a lost stage is assigned to another
+/// engine or to the same one. At each moment a connection tracks the step that the generation waits for.
 #[test]
-fn a_generation_never_waits_for_an_answer_that_no_connection_awaits() {
+fn awaited_step_is_always_tracked_by_a_connection() {
     for_fixed_seeds(600, 600, |u| {
         let prompt: Vec<TokenId> = (0..u.int_in_range(1..=5)?).map(|n| n + 1).collect();
         let max_tokens = u.int_in_range(1..=12)?;
         let expected = reference_answer(&prompt, MODEL_LAYERS, SEED, max_tokens);
         let mut entry = entry(plan(prompt, max_tokens));
 
-        entry.take(Event::Start, 0);
+        entry.handle(Event::Start, 0);
         for _ in 0..u.int_in_range(0..=150)? {
-            entry.disturb(u)?;
-            assert!(entry.is_watched(), "it waits for {:?}", entry.generation.awaited_stage());
+            entry.inject_fault(u)?;
+            assert!(entry.is_tracked(), "it waits for {:?}", entry.generation.awaited_stage());
         }
-        entry.settle();
+        entry.run_to_end();
 
         assert_eq!(entry.emitted, expected);
         Ok(())
--- a/crates/sillbank_generation/tests/interleavings.rs
+++ b/crates/sillbank_generation/tests/interleavings.rs
@@ -1,6 +1,6 @@
-//! Under any interleaving of replies, losses, doubles, deaths and freezes, the caller gets the
-//! tokens of an undisturbed run, each once and in order, and every engine runs each layer once
-//! for each position of an attempt.
+//! Under any interleaving of replies with losses, duplicates, crashes and freezes, the caller receives the tokens
+//! of a run without faults, each once and in order, and every engine runs each layer once for each position of an
+//! attempt.
 
 use arbitrary::Unstructured;
 use sillbank_core::prelude::*;
@@ -12,22 +12,23 @@
 use std::collections::VecDeque;
 
 const MODEL_LAYERS: u16 = 6;
-const SPARES: usize = 3;
+/// Number of engines that hold the layers of each stage.
+const ENGINES_PER_STAGE: usize = 3;
 
-/// A generation, the engines that may stand behind its stages, and messages on their way.
+/// A generation, the engines that can run its stages, and the messages in flight.
 struct World {
     generation: Generation,
     engines: Vec<Vec<EngineCore>>,
     frozen: Vec<Vec<bool>>,
-    behind: Vec<usize>,
+    active: Vec<usize>,
     to_engines: VecDeque<(StageIndex, usize, Step)>,
     to_generation: VecDeque<(StageIndex, StepReply)>,
     emitted: Vec<TokenId>,
     failed: Option<Failure>,
-    whole: bool,
-    /// Stages reported lost while the generation was not over.
+    finished: bool,
+    /// Number of stages reported lost before the generation ended.
     reported: u32,
-    /// Whether an engine restarted without anybody noticing.
+    /// Whether an engine restarted unnoticed.
     restarted: bool,
 }
 
@@ -51,24 +52,24 @@
 fn world(plan: Plan) -> World {
     let engine = |layers: &LayerRange| EngineCore::new(*layers, MODEL_LAYERS, 10_000);
     let engines: Vec<Vec<EngineCore>> =
-        plan.stages.iter().map(|layers| vec![engine(layers); SPARES]).collect();
+        plan.stages.iter().map(|layers| vec![engine(layers); ENGINES_PER_STAGE]).collect();
     World {
-        frozen: vec![vec![false; SPARES]; engines.len()],
-        behind: vec![0; engines.len()],
+        frozen: vec![vec![false; ENGINES_PER_STAGE]; engines.len()],
+        active: vec![0; engines.len()],
         engines,
         generation: Generation::new(plan),
         to_engines: VecDeque::new(),
         to_generation: VecDeque::new(),
         emitted: Vec::new(),
         failed: None,
-        whole: false,
+        finished: false,
         reported: 0,
         restarted: false,
     }
 }
 
 impl World {
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         if matches!(event, Event::StageLost(_)) && !self.generation.is_over() {
             self.reported += 1;
         }
@@ -77,17 +78,17 @@
         for action in actions {
             match action {
                 Action::Send(stage, step) => {
-                    self.to_engines.push_back((stage, self.behind[stage], step));
+                    self.to_engines.push_back((stage, self.active[stage], step));
                 }
                 Action::Emit(number, token) => {
-                    assert_eq!(number as usize, self.emitted.len(), "a token out of order");
+                    assert_eq!(number as usize, self.emitted.len(), "a token is out of order");
                     self.emitted.push(token);
                 }
                 Action::Replace(stage) => {
-                    self.behind[stage] = (self.behind[stage] + 1) % SPARES;
-                    self.take(Event::Replaced(stage));
+                    self.active[stage] = (self.active[stage] + 1) % ENGINES_PER_STAGE;
+                    self.handle(Event::Replaced(stage));
                 }
-                Action::Finish => self.whole = true,
+                Action::Finish => self.finished = true,
                 Action::Fail(failure) => self.failed = Some(failure),
                 Action::Release(_) => {}
             }
@@ -113,19 +114,19 @@
 
     fn deliver(&mut self, at: usize) {
         if let Some((stage, reply)) = self.to_generation.remove(at) {
-            self.take(Event::Reply(stage, reply));
+            self.handle(Event::Reply(stage, reply));
         }
     }
 
-    /// One thing that can happen at any moment.
-    fn disturb(&mut self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+    /// Runs an engine, delivers a reply or injects a fault, at random.
+    fn inject_fault(&mut self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         let stage = u.choose_index(self.engines.len())?;
-        let engine = self.behind[stage];
+        let engine = self.active[stage];
         match u.int_in_range(0..=11)? {
             0..=3 => self.run_engine(),
             4..=6 => self.deliver(0),
             7 if !self.to_generation.is_empty() => {
-                // Out of order, or doubled, or lost.
+                // A reply is reordered, duplicated or lost.
                 let at = u.choose_index(self.to_generation.len())?;
                 match u.int_in_range(0..=2)? {
                     0 => self.deliver(at),
@@ -134,19 +135,19 @@
                 }
             }
             8 => {
-                // Killed: what it held and what was on its way to it is gone.
+                // Crash: its state and the steps in flight to it are lost.
                 self.engines[stage][engine].forget_all();
                 self.to_engines.retain(|(s, e, _)| (*s, *e) != (stage, engine));
-                self.take(Event::StageLost(stage));
+                self.handle(Event::StageLost(stage));
             }
             9 => {
-                // Frozen: found silent; it will wake and run what it was sent.
+                // Freeze: it is found silent, and later wakes up and runs the steps it was sent.
                 self.frozen[stage][engine] = true;
-                self.take(Event::StageLost(stage));
+                self.handle(Event::StageLost(stage));
             }
-            10 => self.frozen[stage] = vec![false; SPARES],
+            10 => self.frozen[stage] = vec![false; ENGINES_PER_STAGE],
             11 if u.ratio(1, 4)? => {
-                // Restarted without anybody noticing.
+                // Unnoticed restart.
                 self.engines[stage][engine].forget_all();
                 self.restarted = true;
             }
@@ -155,8 +156,8 @@
         Ok(())
     }
 
-    /// No more disturbance: everything that waits is found and resent.
-    fn settle(&mut self) {
+    /// Runs without further faults until the generation ends; overdue steps are sent again.
+    fn run_to_end(&mut self) {
         self.frozen.iter_mut().for_each(|stage| stage.fill(false));
         for _ in 0..10_000 {
             if self.generation.is_over() {
@@ -167,7 +168,7 @@
             } else if !self.to_generation.is_empty() {
                 self.deliver(0);
             } else if let Some(stage) = self.generation.awaited_stage() {
-                self.take(Event::StepOverdue(stage));
+                self.handle(Event::StepOverdue(stage));
             }
         }
         panic!("it never ends: {:?}", self.generation.state());
@@ -191,24 +192,26 @@
     }
 }
 
+/// Under any sequence of faults the caller receives the reference answer, or a prefix of it and the failure for
+/// lost endpoints.
 #[test]
-fn every_interleaving_gives_the_undisturbed_answer_or_a_stated_failure() {
-    let mut whole = 0;
+fn every_interleaving_gives_the_reference_answer_or_fails_for_lost_endpoints() {
+    let mut complete = 0;
     for_fixed_seeds(400, 600, |u| {
         let prompt: Vec<TokenId> = (0..u.int_in_range(1..=5)?).map(|n| n + 1).collect();
         let max_tokens = u.int_in_range(1..=12)?;
         let expected = reference_answer(&prompt, MODEL_LAYERS, 11, max_tokens);
         let mut world = world(plan(prompt, max_tokens));
 
-        world.take(Event::Start);
+        world.handle(Event::Start);
         for _ in 0..u.int_in_range(0..=150)? {
-            world.disturb(u)?;
+            world.inject_fault(u)?;
         }
-        world.settle();
+        world.run_to_end();
 
         world.check_ledgers();
         if !world.restarted && world.failed.is_none() {
-            let losses = world.generation.tally().losses;
+            let losses = world.generation.stats().losses;
             assert_eq!(losses, world.reported, "something was built again without a cause");
         }
         assert!(expected.starts_with(&world.emitted), "{:?}", world.emitted);
@@ -216,40 +219,42 @@
             Some(failure) => assert_eq!(failure.kind, FailureKind::EndpointsLost),
             None => {
                 assert_eq!(world.emitted, expected);
-                whole += 1;
+                complete += 1;
             }
         }
         Ok(())
     });
-    assert!(whole > 200, "only {whole} answers were whole");
+    assert!(complete > 200, "only {complete} answers were complete");
 }
 
+/// A reply of an endpoint that was replaced counts as stale, and the step stays awaited.
 #[test]
-fn a_late_reply_of_a_replaced_endpoint_is_not_taken() {
+fn late_reply_of_a_replaced_endpoint_is_stale() {
     let mut world = world(plan(vec![1, 2, 3], 6));
-    world.take(Event::Start);
+    world.handle(Event::Start);
     world.run_engine();
-    world.take(Event::StageLost(0));
+    world.handle(Event::StageLost(0));
 
     world.deliver(0);
 
-    assert_eq!(world.generation.tally().stale_replies, 1);
+    assert_eq!(world.generation.stats().stale_replies, 1);
     assert_eq!(world.generation.awaited_stage(), Some(0), "the new endpoint has yet to build it");
 }
 
+/// After the loss of a stage only that stage is built again; the other stages continue.
 #[test]
-fn only_the_lost_stage_is_built_again() {
+fn only_the_lost_stage_is_rebuilt() {
     let mut world = world(plan(vec![1, 2, 3], 6));
-    world.take(Event::Start);
+    world.handle(Event::Start);
     while world.emitted.len() < 3 {
         world.run_engine();
         world.deliver(0);
     }
 
-    world.take(Event::StageLost(1));
-    world.settle();
+    world.handle(Event::StageLost(1));
+    world.run_to_end();
 
-    assert!(world.whole);
+    assert!(world.finished);
     assert_eq!(world.emitted, reference_answer(&[1, 2, 3], MODEL_LAYERS, 11, 6));
     let attempts = |stage: usize, engine: usize| -> Vec<Position> {
         world.engines[stage][engine].ledger.iter().filter(|e| e.start == 0).map(|e| e.end).collect()
@@ -259,10 +264,11 @@
     assert_eq!(attempts(1, 1).len(), 1, "the new endpoint built the lost stage");
 }
 
+/// A generation that has run steps and meets a newer attempt fails as taken over.
 #[test]
-fn a_taken_over_generation_stays_fenced_out() {
+fn taken_over_generation_stays_fenced_out() {
     let mut world = world(plan(vec![1, 2], 6));
-    world.take(Event::Start);
+    world.handle(Event::Start);
     for _ in 0..3 {
         world.run_engine();
         world.deliver(0);
@@ -274,15 +280,16 @@
     let Some(Action::Send(0, step)) = actions.pop() else { panic!("no step") };
     world.engines[0][0].run_step(&step);
 
-    world.settle();
+    world.run_to_end();
 
     let failure = world.failed.expect("the older one fails");
     assert_eq!(failure.kind, FailureKind::TakenOver);
     assert_eq!(world.generation.state(), State::Failed);
 }
 
+/// A generation that has run nothing and meets a greater attempt raises its own above it and keeps its random bits.
 #[test]
-fn a_newcomer_goes_above_an_older_holder_whose_number_is_greater() {
+fn new_generation_raises_its_attempt_above_an_older_one() {
     let mut world = world(plan(vec![1, 2], 4));
     let ahead = Step {
         uid: RequestUid(3, 4),
@@ -295,17 +302,18 @@
     };
     world.engines[0][0].run_step(&ahead);
 
-    world.take(Event::Start);
-    world.settle();
+    world.handle(Event::Start);
+    world.run_to_end();
 
-    assert!(world.whole, "{:?}", world.failed);
+    assert!(world.finished, "{:?}", world.failed);
     let own = world.generation.attempt();
     assert!(own > ahead.attempt);
     assert_eq!(own % ATTEMPT_INCREMENT, 5, "it keeps its own draw, so two newcomers never meet");
 }
 
+/// A resumed answer does not deliver the tokens that the caller already has.
 #[test]
-fn a_resumed_answer_gives_only_what_the_caller_lacks() {
+fn resumed_answer_delivers_only_missing_tokens() {
     let expected = reference_answer(&[1, 2, 3], MODEL_LAYERS, 11, 8);
     let mut actions = Vec::new();
     let resumed = Plan { delivered_tokens: 5, ..plan(vec![1, 2, 3], 8) };
@@ -337,8 +345,9 @@
     assert_eq!(emitted, wanted);
 }
 
+/// A takeover continues after the tokens that another VM had generated, and delivers only those that the caller lacks.
 #[test]
-fn an_answer_taken_over_with_known_tokens_goes_on_and_gives_only_what_the_caller_lacks() {
+fn takeover_with_known_tokens_continues_and_delivers_only_missing_tokens() {
     let expected = reference_answer(&[1, 2, 3], MODEL_LAYERS, 11, 8);
     for known in [3, 6, 8] {
         let taken_over = Plan {
@@ -347,26 +356,27 @@
             ..plan(vec![1, 2, 3], 8)
         };
         let mut world = world(taken_over);
-        // The caller has the first two.
+        // The caller already has the first two tokens.
         world.emitted = expected[..2].to_vec();
 
-        world.take(Event::Start);
-        world.settle();
+        world.handle(Event::Start);
+        world.run_to_end();
 
-        assert!(world.whole);
+        assert!(world.finished);
         assert_eq!(world.emitted, expected, "with {known} known tokens");
-        let steps = world.generation.tally().steps;
+        let steps = world.generation.stats().steps;
         assert!(steps <= 3 * (8 - known as u32), "{steps} steps with {known} known tokens");
     }
 }
 
+/// A request that every endpoint refused fails with the run state `NotRun`, and no engine ran a step.
 #[test]
-fn a_request_refused_by_every_endpoint_was_not_run() {
+fn request_refused_by_every_endpoint_is_reported_as_not_run() {
     let mut world = world(plan(vec![1, 2], 4));
     world.engines[0].iter_mut().for_each(|engine| engine.leaving = true);
-    world.take(Event::Start);
+    world.handle(Event::Start);
 
-    world.settle();
+    world.run_to_end();
 
     let failure = world.failed.expect("it fails");
     assert_eq!(failure.run, RunState::NotRun);
--- a/crates/sillbank_routing/src/chain.rs
+++ b/crates/sillbank_routing/src/chain.rs
@@ -32,7 +32,7 @@
 
 /// Chooses the earliest predicted completion. The prediction adds up the outstanding prefills, the prefill of
 /// the request itself, and the endpoint's usual time per token, which includes queueing and network, with one
-/// more request in the batch.
+/// more request in the batch. Its name in settings is `least_finish`.
 #[derive(Debug, Clone, Default)]
 pub struct EarliestFinish;
 
