--- a/crates/sillbank_cli/src/main.rs
+++ b/crates/sillbank_cli/src/main.rs
@@ -80,7 +80,7 @@
         println!("sillbank {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    sillbank_net::telemetry::start_logs(false, "warn");
+    sillbank_net::telemetry::init_logging(false, "warn");
     let executor = Rc::new(LocalExecutor::new());
     match smol::block_on(executor.run(run(executor.clone(), arguments.command))) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/sillbank_entry/src/main.rs
+++ b/crates/sillbank_entry/src/main.rs
@@ -57,7 +57,7 @@
             return ExitCode::from(2);
         }
     };
-    sillbank_net::telemetry::start_logs(settings.log.is_json(), &settings.log.filter);
+    sillbank_net::telemetry::init_logging(settings.log.is_json(), &settings.log.filter);
     run_program("entry", |executor| run(executor, settings))
 }
 
--- a/crates/sillbank_entry/src/sink.rs
+++ b/crates/sillbank_entry/src/sink.rs
@@ -144,7 +144,7 @@
 
     /// Bytes the caller has not read.
     pub(crate) fn waiting_bytes(&self) -> usize {
-        self.outbox.waiting_bytes()
+        self.outbox.buffered_bytes()
     }
 
     /// Waits until the caller has read all but `limit` bytes.
@@ -154,7 +154,7 @@
 
     /// Whether the caller has gone.
     pub(crate) fn poll_gone(&self, context: &mut Context<'_>) -> Poll<()> {
-        self.outbox.poll_gone(context)
+        self.outbox.poll_reader_closed(context)
     }
 
     fn write_chunk(&self, content: Option<&str>, reason: Option<FinishReason>) {
--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -32,7 +32,7 @@
 /// A whole body.
 struct ReadBody {
     bytes: Bytes,
-    kept: KeptShare,
+    kept: MemoryReservation,
 }
 
 /// Answers callers.
@@ -196,7 +196,7 @@
             let reason = format!("the body is longer than {} bytes", limits.max_body_bytes);
             Failure::before_work(FailureKind::TooLarge, reason)
         };
-        let mut kept = self.gateway.kept.try_keep(0).ok_or_else(no_memory)?;
+        let mut kept = self.gateway.kept.try_reserve(0).ok_or_else(no_memory)?;
         if body.is_end_stream() {
             return Ok(ReadBody { bytes: Bytes::new(), kept });
         }
--- a/crates/sillbank_gateway/src/feed/client.rs
+++ b/crates/sillbank_gateway/src/feed/client.rs
@@ -9,7 +9,7 @@
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
 use sillbank_net::frames::{FrameError, read_message, write_message};
-use sillbank_net::liveness::end_when_silent;
+use sillbank_net::liveness::enable_keepalive;
 use sillbank_quarantine::prelude::*;
 use smol::net::TcpStream;
 use std::collections::BTreeSet;
@@ -81,7 +81,7 @@
     async fn open(address: SocketAddr) -> Result<Self, FrameError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        end_when_silent(&stream)?;
+        enable_keepalive(&stream)?;
         Ok(Self {
             stream,
             address,
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -48,7 +48,7 @@
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!(%error, "feed: A connection may wait for small packets.");
     }
-    let mut stream = Metered::new(stream, gateway.kept.open());
+    let mut stream = Metered::new(stream, gateway.kept.register_connection());
     loop {
         let late = async {
             smol::Timer::after(ASK_WAIT).await;
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -101,7 +101,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// What is kept for callers and endpoints.
-    pub kept: KeptBytes,
+    pub kept: MemoryBudget,
     /// How near this VM is to its limits.
     pub limits: RefCell<LimitMeter>,
     /// Runs tasks.
@@ -134,7 +134,7 @@
         let (incarnation, began) = (chance.next_u64(), Instant::now());
         Self {
             knowledge: Knowledge::new(settings.key_revocation),
-            kept: KeptBytes::new(settings.kept_bound_bytes()),
+            kept: MemoryBudget::new(settings.kept_bound_bytes()),
             settings: RefCell::new(Rc::new(settings)),
             store: CountedStore::new(store, metrics.store_calls.clone()),
             unreadable: UnreadableEntries::default(),
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -41,7 +41,7 @@
     /// Whole body.
     pub body: Bytes,
     /// What the body takes of the VM's memory.
-    pub kept: KeptShare,
+    pub kept: MemoryReservation,
     /// Route.
     pub route: Rc<Route>,
     /// Service that was chosen for it.
@@ -115,7 +115,7 @@
         resume_after: Option<u64>,
         now: Instant,
     ) -> Request<ReplyBody> {
-        let mut request = Request::new(ReplyBody::Whole(Full::new(self.body.clone())));
+        let mut request = Request::new(ReplyBody::Full(Full::new(self.body.clone())));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         let mut headers = self.headers.clone();
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -105,7 +105,7 @@
         tracing::warn!("program: Names and addresses change only with a new start.");
     }
     gateway.knowledge.set_key_revocation(new.key_revocation);
-    gateway.kept.set_bound(new.kept_bound_bytes());
+    gateway.kept.set_limit(new.kept_bound_bytes());
     *gateway.settings.borrow_mut() = Rc::new(new);
 }
 
--- a/crates/sillbank_gateway/src/metrics.rs
+++ b/crates/sillbank_gateway/src/metrics.rs
@@ -274,9 +274,9 @@
 
 impl Metrics {
     /// Notes what is kept for callers.
-    pub fn note_kept(&self, kept: &KeptBytes) {
-        self.kept_bytes.set(kept.kept_bytes() as i64);
-        self.callers_cut.inc_by(kept.cut().saturating_sub(self.callers_cut.get()));
+    pub fn note_kept(&self, kept: &MemoryBudget) {
+        self.kept_bytes.set(kept.used_bytes() as i64);
+        self.callers_cut.inc_by(kept.cut_connections().saturating_sub(self.callers_cut.get()));
     }
 
     /// What is served on the metrics address.
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -165,7 +165,7 @@
     /// Its head as it came, which says whether the connection stands.
     pub head: HeaderMap,
     /// What it takes of the VM's memory until it goes to the caller.
-    pub kept: KeptShare,
+    pub kept: MemoryReservation,
 }
 
 /// Reads a reply of up to `limit_bytes` whole.
@@ -175,10 +175,10 @@
 pub async fn read_whole(
     reply: Response<Incoming>,
     limit_bytes: usize,
-    kept: &KeptBytes,
+    kept: &MemoryBudget,
 ) -> Result<WholeReply, String> {
     let no_memory = || "the VM keeps no more for its callers".to_owned();
-    let mut kept = kept.try_keep(0).ok_or_else(no_memory)?;
+    let mut kept = kept.try_reserve(0).ok_or_else(no_memory)?;
     let (head, body) = reply.into_parts();
     let headers = head.headers.clone();
     let mut body = Limited::new(body, limit_bytes);
@@ -191,7 +191,7 @@
         }
         whole.extend_from_slice(&data);
     }
-    let reply = Response::from_parts(head, ReplyBody::Whole(Full::new(whole.freeze())));
+    let reply = Response::from_parts(head, ReplyBody::Full(Full::new(whole.freeze())));
     Ok(WholeReply { reply: caller_head(reply), head: headers, kept })
 }
 
--- a/crates/sillbank_gateway/src/streams/pump.rs
+++ b/crates/sillbank_gateway/src/streams/pump.rs
@@ -29,7 +29,7 @@
     pub(super) rules: StreamRules,
     pub(super) outbox: Outbox,
     /// What an event takes of the VM's memory whose end has not come.
-    pub(super) held: Option<KeptShare>,
+    pub(super) held: Option<MemoryReservation>,
     /// Number of the last event that went to the caller.
     pub(super) last: Option<EventNumber>,
     pub(super) events: u64,
@@ -58,8 +58,8 @@
         let outbox = self.outbox.clone();
         let deadline = self.job.deadline;
         let gone = async {
-            std::future::poll_fn(|context| outbox.poll_gone(context)).await;
-            match outbox.reader_cut() {
+            std::future::poll_fn(|context| outbox.poll_reader_closed(context)).await;
+            match outbox.reader_cut_off() {
                 true => (Outcome::BrokenOff, "the caller read nothing for too long".to_owned()),
                 false => (Outcome::CallerLeft, "the caller left".to_owned()),
             }
@@ -74,7 +74,7 @@
         if outcome == Outcome::Answered {
             self.outbox.close();
         } else {
-            self.outbox.break_off();
+            self.outbox.abort();
         }
         watch.end(outcome, StatusCode::OK.as_u16(), self.events, &reason);
     }
@@ -180,7 +180,7 @@
                     }
                 }
             }
-            if self.outbox.waiting_bytes() > MAX_WAITING_BYTES {
+            if self.outbox.buffered_bytes() > MAX_WAITING_BYTES {
                 self.outbox.drained_to(MAX_WAITING_BYTES / 2).await;
                 // The endpoint was not listened to; it did not pause.
                 heard_at = Instant::now();
@@ -231,7 +231,7 @@
     /// Counts an event whose end has not come.
     fn hold(&mut self, bytes: usize) -> Result<(), String> {
         let Some(held) = &mut self.held else {
-            self.held = self.gateway.kept.try_keep(bytes);
+            self.held = self.gateway.kept.try_reserve(bytes);
             return self.held.as_ref().map(|_| ()).ok_or_else(no_memory);
         };
         held.try_resize(bytes).then_some(()).ok_or_else(no_memory)
--- a/crates/sillbank_gateway/src/vm_limits/watch.rs
+++ b/crates/sillbank_gateway/src/vm_limits/watch.rs
@@ -19,9 +19,9 @@
         smol::Timer::at(due).await;
         let now = Instant::now();
         let reading = VmReading {
-            passed_bytes: gateway.kept.passed_bytes(),
+            passed_bytes: gateway.kept.transferred_bytes(),
             requests: gateway.in_progress.get(),
-            kept_bytes: gateway.kept.kept_bytes(),
+            kept_bytes: gateway.kept.used_bytes(),
             connections: gateway.kept.connections(),
             timer_lag: now.saturating_duration_since(due),
         };
--- a/crates/sillbank_load/src/client.rs
+++ b/crates/sillbank_load/src/client.rs
@@ -182,7 +182,7 @@
 
     fn generate_request(&self, got: &Got) -> Request<ReplyBody> {
         let WorkKind::Generate { pipeline, prompt, max_tokens, priority } = &got.work.kind else {
-            return Request::new(ReplyBody::Whole(Full::default()));
+            return Request::new(ReplyBody::Full(Full::default()));
         };
         let body = serde_json::json!({
             "model": pipeline,
@@ -203,7 +203,7 @@
                 request.headers_mut().insert("last-event-id", value);
             }
         }
-        request.map(|body| ReplyBody::Whole(Full::new(body)))
+        request.map(|body| ReplyBody::Full(Full::new(body)))
     }
 
     async fn try_call(
--- a/crates/sillbank_load/src/main.rs
+++ b/crates/sillbank_load/src/main.rs
@@ -41,7 +41,7 @@
         println!("sillbank-load {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    sillbank_net::telemetry::start_logs(false, "warn");
+    sillbank_net::telemetry::init_logging(false, "warn");
     let executor = Rc::new(LocalExecutor::new());
     match smol::block_on(executor.run(run_command(executor.clone(), arguments.command))) {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/sillbank_net/src/app.rs
+++ b/crates/sillbank_net/src/app.rs
@@ -1,7 +1,7 @@
-//! A program made of plugins joined to one builder.
+//! Composition of a program from plugins.
 //!
-//! A plugin is one part of a program: it starts its tasks on the app's executor and shares the
-//! app's state with the others.
+//! A plugin is one part of a program. It spawns its tasks on the app's executor and shares the app's state with the
+//! other plugins.
 
 use smol::LocalExecutor;
 use std::fmt::Display;
@@ -9,13 +9,13 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// One part of a program with the shared state `S`.
+/// Part of a program with the shared state `S`.
 pub trait Plugin<S> {
-    /// Starts the part's tasks.
+    /// Spawns the tasks of the plugin.
     fn build(self, app: &App<S>);
 }
 
-/// Plugins, the executor they run on, and the state they share.
+/// Executor and shared state of the plugins of a program.
 #[derive(Debug)]
 pub struct App<S> {
     executor: Rc<LocalExecutor<'static>>,
@@ -23,7 +23,7 @@
 }
 
 impl<S> App<S> {
-    /// An app without plugins.
+    /// Creates an app without plugins.
     pub fn new(executor: Rc<LocalExecutor<'static>>, state: Rc<S>) -> Self {
         Self { executor, state }
     }
@@ -35,24 +35,24 @@
         self
     }
 
-    /// The state that all plugins share.
+    /// Returns the state that all plugins share.
     pub fn state(&self) -> Rc<S> {
         self.state.clone()
     }
 
-    /// The executor that all plugins run on.
+    /// Returns the executor that all plugins run on.
     pub fn executor(&self) -> Rc<LocalExecutor<'static>> {
         self.executor.clone()
     }
 
-    /// Starts a task that runs as long as the program.
+    /// Spawns a task that may run until the program ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
 }
 
-/// Runs a program to its end on one thread and turns how it ended into an exit code: 0 if it ended
-/// well, 1 with a log line if not. `prefix` begins the line.
+/// Runs a program on the current thread and returns its exit code: 0 on success, 1 with a log line that starts with
+/// `prefix` on failure.
 pub fn run_program<E, F, W>(prefix: &str, work: W) -> ExitCode
 where
     E: Display,
@@ -63,7 +63,7 @@
     match smol::block_on(executor.run(work(executor.clone()))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!("{prefix}: It cannot run: {error}.");
+            tracing::error!("{prefix}: The program failed: {error}.");
             ExitCode::FAILURE
         }
     }
--- a/crates/sillbank_net/src/body.rs
+++ b/crates/sillbank_net/src/body.rs
@@ -1,6 +1,6 @@
-//! Bodies of replies: whole, or written piece by piece through an [`Outbox`].
+//! Bodies of replies: complete ones, and those streamed through an [`Outbox`].
 
-use crate::kept::UnreadBytes;
+use crate::memory_budget::UnreadBytes;
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
@@ -11,65 +11,66 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker, ready};
 
-/// Longest piece that a server takes at a time: it keeps what it has taken, and what waits is counted here.
-const PIECE_BYTES: usize = 16 << 10;
+/// Largest chunk that a server takes at a time. The server buffers what it has taken; the rest stays counted in the
+/// outbox.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
 
-/// The body ended before it was whole; the connection is cut so that the reader can tell.
+/// The body was aborted before its end. The connection is closed, so that the reader notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the answer was broken off; ask again from its last whole piece")]
-pub struct BrokenOff;
+pub struct BodyAborted;
 
 #[derive(Debug, Default)]
 struct OutboxState {
     buffer: BytesMut,
     closed: bool,
-    broken: bool,
-    reader_gone: bool,
-    /// Whether the reader has gone as it was cut off.
-    reader_cut: bool,
+    aborted: bool,
+    reader_closed: bool,
+    /// Whether the connection was cut because the reader did not read.
+    reader_cut_off: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
-    /// Where what waits is counted.
+    /// Counter of the unread bytes of the connection.
     unread: Option<UnreadBytes>,
 }
 
-/// The writing end of a streamed body. What is written between two polls leaves as one chunk.
+/// Write end of a streamed body. Writes between two polls are sent as one chunk.
 #[derive(Debug, Clone, Default)]
 pub struct Outbox {
     state: Rc<RefCell<OutboxState>>,
 }
 
 impl Outbox {
-    /// A new outbox and the body that sends what is written to it.
+    /// Creates an outbox and the body that sends what is written to it.
     pub fn new() -> (Self, OutboxBody) {
         let outbox = Self::default();
         let body = OutboxBody { state: outbox.state.clone() };
         (outbox, body)
     }
 
-    /// Appends to the buffer with a function and wakes the sender.
+    /// Appends to the buffer by a function and wakes the sender.
     pub fn write_with(&self, write: impl FnOnce(&mut BytesMut)) {
         let mut state = self.state.borrow_mut();
-        if state.closed || state.reader_gone {
+        if state.closed || state.reader_closed {
             return;
         }
-        let waiting_before = state.buffer.len();
+        let length_before = state.buffer.len();
         write(&mut state.buffer);
-        let written = state.buffer.len() - waiting_before;
+        let written = state.buffer.len() - length_before;
         if let Some(unread) = &state.unread {
-            unread.on_waiting(written);
+            unread.on_queued(written);
         }
         if let Some(waker) = state.reader.take() {
             waker.wake();
         }
     }
 
-    /// Appends bytes.
+    /// Appends bytes to the buffer.
     pub fn write(&self, bytes: &[u8]) {
         self.write_with(|buffer| buffer.extend_from_slice(bytes));
     }
 
-    /// Ends the body after what is in the buffer.
+    /// Ends the body after the buffered bytes.
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
         state.closed = true;
@@ -78,32 +79,32 @@
         }
     }
 
-    /// Breaks the body off after what is in the buffer, so that it cannot be taken for whole.
-    pub fn break_off(&self) {
-        self.state.borrow_mut().broken = true;
+    /// Aborts the body after the buffered bytes, so that the reader cannot take it for complete.
+    pub fn abort(&self) {
+        self.state.borrow_mut().aborted = true;
         self.close();
     }
 
-    /// Bytes that wait to be sent.
-    pub fn waiting_bytes(&self) -> usize {
+    /// Returns the number of bytes that wait to be sent.
+    pub fn buffered_bytes(&self) -> usize {
         self.state.borrow().buffer.len()
     }
 
-    /// Whether nobody will read any more.
-    pub fn reader_gone(&self) -> bool {
-        self.state.borrow().reader_gone
+    /// Whether the read end has been dropped.
+    pub fn reader_closed(&self) -> bool {
+        self.state.borrow().reader_closed
     }
 
-    /// Whether nobody will read any more as the reader read nothing and was cut off.
-    pub fn reader_cut(&self) -> bool {
-        self.state.borrow().reader_cut
+    /// Whether the connection was cut because the reader did not read.
+    pub fn reader_cut_off(&self) -> bool {
+        self.state.borrow().reader_cut_off
     }
 
-    /// Waits until at most `limit` bytes wait, or the reader has gone.
+    /// Waits until at most `limit` bytes are buffered, or the read end is dropped.
     pub async fn drained_to(&self, limit: usize) {
         std::future::poll_fn(|context| {
             let mut state = self.state.borrow_mut();
-            if state.reader_gone || state.buffer.len() <= limit {
+            if state.reader_closed || state.buffer.len() <= limit {
                 return Poll::Ready(());
             }
             state.writer = Some(context.waker().clone());
@@ -112,10 +113,10 @@
         .await;
     }
 
-    /// Ready when the reader has gone.
-    pub fn poll_gone(&self, context: &mut Context<'_>) -> Poll<()> {
+    /// Completes when the read end is dropped.
+    pub fn poll_reader_closed(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut state = self.state.borrow_mut();
-        if state.reader_gone {
+        if state.reader_closed {
             return Poll::Ready(());
         }
         state.writer = Some(context.waker().clone());
@@ -123,18 +124,18 @@
     }
 }
 
-/// The reading end of an [`Outbox`].
+/// Read end of an [`Outbox`].
 #[derive(Debug)]
 pub struct OutboxBody {
     state: Rc<RefCell<OutboxState>>,
 }
 
 impl OutboxBody {
-    fn poll_chunk(&self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, BrokenOff>>> {
+    fn poll_chunk(&self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         let mut state = self.state.borrow_mut();
         if state.buffer.is_empty() {
-            if state.broken {
-                return Poll::Ready(Some(Err(BrokenOff)));
+            if state.aborted {
+                return Poll::Ready(Some(Err(BodyAborted)));
             }
             if state.closed {
                 return Poll::Ready(None);
@@ -142,7 +143,7 @@
             state.reader = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let length = state.buffer.len().min(PIECE_BYTES);
+        let length = state.buffer.len().min(MAX_CHUNK_BYTES);
         let chunk = state.buffer.split_to(length).freeze();
         if let Some(waker) = state.writer.take() {
             waker.wake();
@@ -154,8 +155,8 @@
 impl Drop for OutboxBody {
     fn drop(&mut self) {
         let mut state = self.state.borrow_mut();
-        state.reader_gone = true;
-        state.reader_cut = state.unread.take().is_some_and(|unread| unread.is_cut());
+        state.reader_closed = true;
+        state.reader_cut_off = state.unread.take().is_some_and(|unread| unread.is_cut());
         if let Some(waker) = state.writer.take() {
             waker.wake();
         }
@@ -165,29 +166,29 @@
 /// Body of a reply or of a request.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// Known whole.
+    /// Complete body.
     Whole(Full<Bytes>),
-    /// Written piece by piece.
+    /// Streamed body.
     Stream(OutboxBody),
 }
 
 impl ReplyBody {
-    /// Counts what waits of it from now on.
-    fn count_in(&self, unread: &UnreadBytes) {
+    /// Counts the unread bytes of the body from now on.
+    fn track_in(&self, unread: &UnreadBytes) {
         match self {
-            Self::Whole(whole) => {
-                unread.on_waiting(whole.size_hint().exact().unwrap_or(0) as usize);
+            Self::Full(whole) => {
+                unread.on_queued(whole.size_hint().exact().unwrap_or(0) as usize);
             }
             Self::Stream(stream) => {
                 let mut state = stream.state.borrow_mut();
-                unread.on_waiting(state.buffer.len());
+                unread.on_queued(state.buffer.len());
                 state.unread = Some(unread.clone());
             }
         }
     }
 }
 
-/// A body whose bytes are counted until its reader has them.
+/// Body whose bytes are counted until they have been written to the connection.
 #[derive(Debug)]
 pub(crate) struct CountedBody {
     body: ReplyBody,
@@ -196,7 +197,7 @@
 
 impl CountedBody {
     pub(crate) fn new(body: ReplyBody, unread: UnreadBytes) -> Self {
-        body.count_in(&unread);
+        body.track_in(&unread);
         Self { body, unread }
     }
 }
@@ -209,12 +210,12 @@
 
 impl Body for CountedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(context));
         if let Some(Ok(frame)) = &frame {
             self.unread.on_taken(frame.data_ref().map_or(0, Bytes::len));
@@ -233,14 +234,14 @@
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match self.get_mut() {
-            Self::Whole(whole) => Pin::new(whole)
+            Self::Full(whole) => Pin::new(whole)
                 .poll_frame(context)
                 .map(|frame| frame.map(|frame| frame.map_err(|never| match never {}))),
             Self::Stream(stream) => {
@@ -251,38 +252,38 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(whole) => whole.is_end_stream(),
+            Self::Full(whole) => whole.is_end_stream(),
             Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(whole) => whole.size_hint(),
+            Self::Full(whole) => whole.size_hint(),
             Self::Stream(_) => SizeHint::default(),
         }
     }
 }
 
-/// A reply with a JSON body.
+/// Creates a reply with a JSON body.
 pub fn json_reply<T: Serialize>(status: StatusCode, value: &T) -> Response<ReplyBody> {
     match serde_json::to_vec(value) {
         Ok(text) => reply(status, "application/json", text.into()),
         Err(error) => {
-            tracing::error!(%error, "net: A reply cannot be written as JSON.");
+            tracing::error!(%error, "net: A reply cannot be serialized as JSON.");
             text_reply(StatusCode::INTERNAL_SERVER_ERROR, "the reply cannot be written")
         }
     }
 }
 
-/// A reply with a text body.
+/// Creates a reply with a plain text body.
 pub fn text_reply(status: StatusCode, text: impl Into<String>) -> Response<ReplyBody> {
     reply(status, "text/plain; charset=utf-8", Bytes::from(text.into()))
 }
 
-/// A reply with a body of a stated type.
+/// Creates a reply with a body of the given content type.
 pub fn reply(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<ReplyBody> {
-    let mut reply = Response::new(ReplyBody::Whole(Full::new(body)));
+    let mut reply = Response::new(ReplyBody::Full(Full::new(body)));
     *reply.status_mut() = status;
     reply
         .headers_mut()
--- a/crates/sillbank_net/src/client.rs
+++ b/crates/sillbank_net/src/client.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 calls over kept connections.
+//! HTTP/1.1 client with connection reuse.
 
 use crate::body::ReplyBody;
-use crate::liveness::end_when_silent;
+use crate::liveness::enable_keepalive;
 use bytes::Bytes;
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Full, Limited};
@@ -18,16 +18,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Idle connections kept for one address.
-const KEPT_CONNECTIONS: usize = 16;
+/// Number of idle connections kept per address.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Most bytes that are read from a connection ahead of whoever takes them; heads may not be longer.
+/// Size of the read buffer of a connection, which also limits the length of response heads.
 const MAX_READ_BYTES: usize = 64 << 10;
 
-/// Why a call has no answer. The kind says whether the work may have run.
+/// Error of a call. The variant tells whether the work may have run.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No byte of the request left.
+    /// Nothing of the request was sent.
     #[error("nothing was sent to {address}: {reason}; check that it runs and can be reached")]
     NotSent {
         /// Who was called.
@@ -45,10 +45,10 @@
     },
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone)]
 pub struct CallReply {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
@@ -57,16 +57,16 @@
 }
 
 impl CallReply {
-    /// Reads the body as JSON.
+    /// Deserializes the body from JSON.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns an error if the body is not valid JSON for `T`.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 }
 
-/// Makes calls and keeps idle connections.
+/// HTTP client that pools idle connections.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     executor: Rc<LocalExecutor<'static>>,
@@ -75,15 +75,15 @@
 }
 
 impl HttpClient {
-    /// A client that accepts replies of up to `max_reply_bytes`.
+    /// Creates a client that accepts replies of up to `max_reply_bytes`.
     pub fn new(executor: Rc<LocalExecutor<'static>>, max_reply_bytes: usize) -> Self {
         Self { executor, idle: Rc::default(), max_reply_bytes }
     }
 
-    /// Sends a request with a whole body and waits for the whole answer.
+    /// Sends a request with a complete body and waits for the complete answer.
     ///
     /// # Errors
-    /// [`CallError::NotSent`] if no byte left, else [`CallError::Lost`].
+    /// Returns [`CallError::NotSent`] if nothing was sent, otherwise [`CallError::Lost`].
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -110,18 +110,18 @@
         request: Request<Bytes>,
         sent: &std::cell::Cell<bool>,
     ) -> Result<CallReply, CallError> {
-        let mut request = request.map(|body| ReplyBody::Whole(Full::new(body)));
+        let mut request = request.map(|body| ReplyBody::Full(Full::new(body)));
         loop {
-            let (mut sender, reused) = self.sender(address).await?;
+            let (mut sender, reused) = self.idle_or_new_sender(address).await?;
             sent.set(true);
             match sender.try_send_request(request).await {
                 Ok(response) => {
-                    let reply = self.read_whole(address, response).await?;
-                    self.keep(address, sender);
+                    let reply = self.buffer_reply(address, response).await?;
+                    self.put_back(address, sender);
                     return Ok(reply);
                 }
                 Err(mut error) => match error.take_message() {
-                    // A kept connection had been closed by the other side: nothing left.
+                    // The peer had closed the idle connection, so nothing was sent.
                     Some(unsent) if reused => {
                         sent.set(false);
                         request = unsent;
@@ -139,25 +139,25 @@
         }
     }
 
-    async fn read_whole(
+    async fn buffer_reply(
         &self,
         address: SocketAddr,
         response: Response<Incoming>,
     ) -> Result<CallReply, CallError> {
         let (head, body) = response.into_parts();
-        let whole = Limited::new(body, self.max_reply_bytes).collect().await;
+        let collected = Limited::new(body, self.max_reply_bytes).collect().await;
         let body =
-            whole.map_err(|e| CallError::Lost { address, reason: e.to_string() })?.to_bytes();
+            collected.map_err(|e| CallError::Lost { address, reason: e.to_string() })?.to_bytes();
         Ok(CallReply { status: head.status, headers: head.headers, body })
     }
 
-    async fn sender(
+    async fn idle_or_new_sender(
         &self,
         address: SocketAddr,
     ) -> Result<(SendRequest<ReplyBody>, bool), CallError> {
         loop {
-            let kept = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
-            match kept {
+            let idle = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
+            match idle {
                 Some(sender) if sender.is_closed() || !sender.is_ready() => {}
                 Some(sender) => return Ok((sender, true)),
                 None => break,
@@ -169,39 +169,41 @@
         Ok((sender, false))
     }
 
-    fn keep(&self, address: SocketAddr, sender: SendRequest<ReplyBody>) {
+    fn put_back(&self, address: SocketAddr, sender: SendRequest<ReplyBody>) {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < KEPT_CONNECTIONS && !sender.is_closed() {
-            kept.push(sender);
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS && !sender.is_closed() {
+            connections.push(sender);
         }
     }
 }
 
-/// A connection that is closed when it is dropped, also in the middle of an exchange.
+/// Connection that is closed when it is dropped, even during an exchange.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends requests.
+    /// Sender of requests.
     pub sender: SendRequest<ReplyBody>,
-    /// Moves the bytes.
+    /// Task that drives the connection.
     driver: Task<()>,
 }
 
 impl Connection {
-    /// Opens one.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// What hindered it.
+    /// Returns an error if the connection or the handshake fails.
     pub async fn open(
         executor: &LocalExecutor<'static>,
         address: SocketAddr,
     ) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         if let Err(error) = stream.set_nodelay(true) {
-            tracing::debug!("net: A connection to {address} may wait for small packets: {error}.");
+            tracing::debug!(
+                "net: TCP_NODELAY cannot be set on a connection to {address}: {error}."
+            );
         }
-        if let Err(error) = end_when_silent(&stream) {
-            tracing::debug!("net: A connection to {address} may go silent unseen: {error}.");
+        if let Err(error) = enable_keepalive(&stream) {
+            tracing::debug!("net: Keepalive cannot be set on a connection to {address}: {error}.");
         }
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_READ_BYTES)
@@ -217,10 +219,10 @@
     }
 }
 
-/// Opens a connection that lives as long as it is used.
+/// Opens a connection that stays open as long as its sender is used.
 ///
 /// # Errors
-/// What hindered the connection.
+/// Returns an error if the connection or the handshake fails.
 pub async fn connect(
     executor: &LocalExecutor<'static>,
     address: SocketAddr,
@@ -230,14 +232,14 @@
     Ok(connection.sender)
 }
 
-/// A request with a JSON body, or none.
+/// Creates a request with a JSON body, which may be empty.
 pub fn request(method: Method, path: &str, body: Bytes) -> Request<Bytes> {
     let mut request = Request::new(body);
     *request.method_mut() = method;
     match path.parse() {
         Ok(target) => *request.uri_mut() = target,
-        // It goes to the root, where it is refused: the caller hears of it.
-        Err(error) => tracing::error!(path, %error, "net: A path cannot be sent."),
+        // The request goes to the root path, where it is refused, so the caller sees an error.
+        Err(error) => tracing::error!(path, %error, "net: The path of a request is invalid."),
     }
     let headers = request.headers_mut();
     headers.insert("host", hyper::header::HeaderValue::from_static("sillbank"));
--- a/crates/sillbank_net/src/failures.rs
+++ b/crates/sillbank_net/src/failures.rs
@@ -1,11 +1,11 @@
-//! Failures as callers get them.
+//! HTTP representation of failures.
 
 use crate::body::{ReplyBody, reply};
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use sillbank_core::prelude::*;
 
-/// The JSON text of a failure.
+/// Serializes a failure as JSON.
 pub fn failure_json(failure: &Failure) -> String {
     let retry_after_ms = failure.retry_after.map(|after| after.as_millis() as u64);
     serde_json::json!({
@@ -21,7 +21,7 @@
     .to_string()
 }
 
-/// The reply that carries a failure.
+/// Creates the reply for a failure.
 pub fn failure_reply(failure: &Failure) -> Response<ReplyBody> {
     let status = StatusCode::from_u16(failure.kind.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/sillbank_net/src/frames.rs
+++ b/crates/sillbank_net/src/frames.rs
@@ -1,4 +1,4 @@
-//! Postcard messages with a length in front, over TCP.
+//! Length-prefixed postcard messages over TCP.
 
 use serde::{Deserialize, Serialize};
 use sillbank_protocol::peer::{DecodeError, decode_frame, decode_length, encode_frame};
@@ -7,10 +7,10 @@
 /// Why a message could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection failed; connect again.
-    #[error("the connection failed ({0}); it will be made again")]
+    /// The connection failed.
+    #[error("the connection failed ({0}); it will be reopened")]
     Io(#[from] std::io::Error),
-    /// The peer sent what is not a message.
+    /// The peer sent an invalid frame.
     #[error(transparent)]
     Decode(#[from] DecodeError),
 }
@@ -18,7 +18,7 @@
 /// Reads one message.
 ///
 /// # Errors
-/// [`FrameError`] if the connection ends or the frame is not such a message.
+/// Returns [`FrameError`] if the connection ends or the frame cannot be decoded.
 pub async fn read_message<M, R>(reader: &mut R) -> Result<M, FrameError>
 where
     M: for<'a> Deserialize<'a>,
@@ -34,7 +34,7 @@
 /// Writes one message.
 ///
 /// # Errors
-/// [`FrameError`] if the connection ends or the message is too long.
+/// Returns [`FrameError`] if the connection ends or the message is too long.
 pub async fn write_message<M, W>(writer: &mut W, message: &M) -> Result<(), FrameError>
 where
     M: Serialize,
--- a/crates/sillbank_net/src/liveness.rs
+++ b/crates/sillbank_net/src/liveness.rs
@@ -1,5 +1,4 @@
-//! Finds connections that have gone silent: their far side takes and sends nothing any more, and no reset
-//! says so. Only limits of this side's own end them.
+//! Detection of dead connections whose peer is unreachable and sends no reset. Only timeouts of this side end them.
 
 use rustix::net::sockopt;
 use smol::net::TcpStream;
@@ -7,30 +6,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rest after which the far side is asked for a sign of life, and time between such asks. The system counts
-/// both in whole seconds.
-const ASK_AFTER: Duration = Duration::from_secs(1);
-/// Asks without an answer after which a connection ends.
-const UNANSWERED_ASKS: u32 = 2;
-/// How long bytes may go without an acknowledgement. A packet that was lost is sent again within 0.2 to
-/// 0.6 s; callers give a stream up after 2 s without an event.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+/// Idle time before the first TCP keepalive probe, and interval between probes. The operating system counts both in
+/// whole seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keepalive probes after which a connection is closed.
+const MAX_UNANSWERED_PROBES: u32 = 2;
+/// How long sent bytes may stay unacknowledged. A lost packet is retransmitted within 0.2 to 0.6 s; callers abandon a
+/// stream after 2 s without an event.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Makes the system end a connection whose far side has shown no life for some two seconds.
+/// Enables TCP keepalive, so that the operating system closes a connection whose peer has not responded for about two
+/// seconds.
 ///
 /// # Errors
-/// An option that the system refuses.
-pub fn end_when_silent(stream: &TcpStream) -> io::Result<()> {
+/// Returns an error if a socket option cannot be set.
+pub fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, ASK_AFTER)?;
-    sockopt::set_tcp_keepintvl(stream, ASK_AFTER)?;
-    sockopt::set_tcp_keepcnt(stream, UNANSWERED_ASKS)?;
-    sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED.as_millis() as u32)?;
+    sockopt::set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepcnt(stream, MAX_UNANSWERED_PROBES)?;
+    sockopt::set_tcp_user_timeout(stream, ACK_TIMEOUT.as_millis() as u32)?;
     Ok(())
 }
 
-/// Whether nobody listens at an address any more. One that takes a connection is there, and one that does
-/// not answer within `limit` may be.
+/// Whether connections to an address are refused, because nothing listens there. An address that accepts a
+/// connection, or does not answer within `limit`, does not count as refusing.
 pub async fn refuses_connections(address: SocketAddr, limit: Duration) -> bool {
     let late = async {
         smol::Timer::after(limit).await;
--- a/crates/sillbank_net/src/metered.rs
+++ b/crates/sillbank_net/src/metered.rs
@@ -1,12 +1,12 @@
-//! A connection whose bytes are counted as they pass.
+//! Connection wrapper that counts transferred bytes.
 
-use crate::kept::UnreadBytes;
+use crate::memory_budget::UnreadBytes;
 use smol::io::{AsyncRead, AsyncWrite};
 use std::io::Result;
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// Counts what passes over a connection, and what its peer has taken.
+/// Connection that counts the bytes it transfers and those written to its peer.
 #[derive(Debug)]
 pub struct Metered<C> {
     connection: C,
@@ -14,7 +14,7 @@
 }
 
 impl<C> Metered<C> {
-    /// Counts the bytes of a connection in `unread`.
+    /// Wraps a connection and counts its bytes in `unread`.
     pub fn new(connection: C, unread: UnreadBytes) -> Self {
         Self { connection, unread }
     }
@@ -27,7 +27,7 @@
         buffer: &mut [u8],
     ) -> Poll<Result<usize>> {
         let read = ready!(Pin::new(&mut self.connection).poll_read(context, buffer))?;
-        self.unread.on_passed(read);
+        self.unread.on_transferred(read);
         Poll::Ready(Ok(read))
     }
 }
@@ -39,8 +39,8 @@
         bytes: &[u8],
     ) -> Poll<Result<usize>> {
         let written = ready!(Pin::new(&mut self.connection).poll_write(context, bytes))?;
-        self.unread.on_passed(written);
-        self.unread.on_read(written);
+        self.unread.on_transferred(written);
+        self.unread.on_written(written);
         Poll::Ready(Ok(written))
     }
 
--- a/crates/sillbank_net/src/serve.rs
+++ b/crates/sillbank_net/src/serve.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 servers.
 
 use crate::body::{CountedBody, ReplyBody};
-use crate::kept::{KeptBytes, UnreadBytes};
+use crate::memory_budget::{MemoryBudget, UnreadBytes};
 use crate::metered::Metered;
 use futures_lite::FutureExt;
 use hyper::body::Incoming;
@@ -18,27 +18,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause before looking for room again when all connections are taken.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
-/// How often a stopping server looks whether the first request of a connection has come.
+/// Interval at which a server at its connection limit checks whether a connection has been closed.
+const CONNECTION_LIMIT_POLL: Duration = Duration::from_millis(5);
+/// Interval at which a stopping server checks whether a connection has received its first request.
 const FIRST_REQUEST_POLL: Duration = Duration::from_millis(20);
-/// Pause after a connection could not be accepted, so that a lack of descriptors is not a busy loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept, so that a lack of file descriptors does not cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Answers requests.
+/// Handler of requests.
 pub trait Handler: 'static {
-    /// Answers one request; failures are replies too.
+    /// Handles a request. Failures are returned as replies too.
     fn handle(&self, request: Request<Incoming>) -> impl Future<Output = Response<ReplyBody>>;
 }
 
-/// Bounds on what a peer may do.
+/// Limits on the connections of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Time for the head of a request.
+    /// Time limit for receiving the head of a request.
     pub head_timeout: Duration,
-    /// Longest head.
+    /// Maximum length of a head, in bytes.
     pub max_head_bytes: usize,
-    /// Connections at a time; more wait in the listener's queue.
+    /// Maximum number of open connections; further ones wait in the backlog of the listener.
     pub max_connections: usize,
 }
 
@@ -52,14 +52,14 @@
     }
 }
 
-/// Tells servers to stop.
+/// Signals servers to stop.
 #[derive(Debug)]
 pub struct Stopper {
     sender: smol::channel::Sender<Infallible>,
     token: StopToken,
 }
 
-/// Hears of a [`Stopper`].
+/// Receiver of the signal of a [`Stopper`].
 #[derive(Debug, Clone)]
 pub struct StopToken(smol::channel::Receiver<Infallible>);
 
@@ -71,19 +71,19 @@
 }
 
 impl Stopper {
-    /// A token that hears of it.
+    /// Returns a token that receives the signal.
     pub fn token(&self) -> StopToken {
         self.token.clone()
     }
 
-    /// Tells all tokens. Further calls do nothing.
+    /// Sends the signal to all tokens. Further calls have no effect.
     pub fn stop(&self) {
         self.sender.close();
     }
 }
 
 impl StopToken {
-    /// Waits until told to stop.
+    /// Waits for the signal.
     pub async fn stopped(&self) {
         if let Ok(never) = self.0.recv().await {
             match never {}
@@ -91,7 +91,7 @@
     }
 }
 
-/// Takes connections until dropped.
+/// Accepts connections until dropped.
 pub async fn serve<H: Handler>(
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
@@ -99,39 +99,45 @@
     handler: Rc<H>,
 ) {
     let stopper = Stopper::default();
-    let kept = KeptBytes::default();
-    serve_until(executor, listener, limits, handler, stopper.token(), kept).await;
+    let budget = MemoryBudget::default();
+    serve_until(executor, listener, limits, handler, stopper.token(), budget).await;
 }
 
-/// Takes connections until dropped. When told to stop it still takes new ones, but closes each as
-/// soon as it rests. What is kept for callers is counted in `kept`.
+/// Accepts connections until dropped. After the stop signal it still accepts new ones, but closes each connection as
+/// soon as it is idle. Unread bytes are counted in `budget`.
 pub async fn serve_until<H: Handler>(
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
     limits: ServerLimits,
     handler: Rc<H>,
     stop: StopToken,
-    kept: KeptBytes,
+    budget: MemoryBudget,
 ) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
         if open.get() >= limits.max_connections {
-            smol::Timer::after(FULL_PAUSE).await;
+            smol::Timer::after(CONNECTION_LIMIT_POLL).await;
             continue;
         }
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!("net: A connection was not accepted: {error}.");
-                smol::Timer::after(ACCEPT_PAUSE).await;
+                tracing::warn!("net: A connection cannot be accepted: {error}.");
+                smol::Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if let Err(error) = stream.set_nodelay(true) {
-            tracing::debug!("net: A caller's connection may wait for small packets: {error}.");
+            tracing::debug!("net: TCP_NODELAY cannot be set on an accepted connection: {error}.");
         }
         let guard = OpenGuard::new(open.clone());
-        let served = serve_connection(stream, limits, handler.clone(), stop.clone(), kept.open());
+        let served = serve_connection(
+            stream,
+            limits,
+            handler.clone(),
+            stop.clone(),
+            budget.register_connection(),
+        );
         let served = async move {
             served.await;
             drop(guard);
@@ -140,7 +146,7 @@
     }
 }
 
-/// Number of a connection among those whose bytes are counted together; each request carries it among its extensions.
+/// Number of a connection, unique within its [`MemoryBudget`]. Each request carries it in its extensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ConnectionNumber(u64);
 
@@ -159,7 +165,7 @@
     }
 }
 
-/// Answers the requests of one connection, until it ends or its peer is cut off as it does not read.
+/// Serves the requests of one connection until it ends, or is cut because its peer does not read.
 pub async fn serve_connection<H, C>(
     connection: C,
     limits: ServerLimits,
@@ -170,10 +176,10 @@
     H: Handler,
     C: AsyncRead + AsyncWrite + Unpin + 'static,
 {
-    let begun = Cell::new(false);
-    let number = ConnectionNumber(unread.number());
+    let has_request = Cell::new(false);
+    let number = ConnectionNumber(unread.connection_id());
     let service = service_fn(|mut request| {
-        begun.set(true);
+        has_request.set(true);
         request.extensions_mut().insert(number);
         let handler = handler.clone();
         let unread = unread.clone();
@@ -192,8 +198,8 @@
     );
     let stopped = async {
         stop.stopped().await;
-        // A connection that is new has a request on its way, which is to be answered.
-        while !begun.get() {
+        // A new connection has its first request in flight, which must still be answered.
+        while !has_request.get() {
             smol::Timer::after(FIRST_REQUEST_POLL).await;
         }
         None
--- a/crates/sillbank_net/src/signals.rs
+++ b/crates/sillbank_net/src/signals.rs
@@ -1,38 +1,38 @@
-//! Signals that ask a process for something.
+//! Operating system signals that a process handles.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use smol::Async;
 use smol::io::AsyncReadExt;
 use std::os::unix::net::UnixStream;
 
-/// Waits for signals of one meaning.
+/// Receiver of a set of signals.
 #[derive(Debug)]
 pub struct Signals {
     reader: Async<UnixStream>,
 }
 
 impl Signals {
-    /// Listens for the signals that ask a process to stop: SIGTERM and SIGINT.
+    /// Listens for the signals that stop a process: SIGTERM and SIGINT.
     ///
     /// # Errors
-    /// What the operating system refused.
+    /// Returns an error if the signal handlers cannot be registered.
     pub fn stop() -> std::io::Result<Self> {
         Self::of(&[SIGTERM, SIGINT])
     }
 
-    /// Listens for the signal that says that the settings have changed: SIGHUP.
+    /// Listens for the signal that reloads the settings: SIGHUP.
     ///
     /// # Errors
-    /// What the operating system refused.
+    /// Returns an error if the signal handler cannot be registered.
     pub fn reload() -> std::io::Result<Self> {
         Self::of(&[SIGHUP])
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub async fn next(&mut self) {
         let mut byte = [0];
         if let Err(error) = self.reader.read_exact(&mut byte).await {
-            tracing::error!("net: Signals are not heard any more: {error}.");
+            tracing::error!("net: Signals are no longer received: {error}.");
             std::future::pending::<()>().await;
         }
     }
--- a/crates/sillbank_net/src/telemetry.rs
+++ b/crates/sillbank_net/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics.
+//! Logging and metrics.
 
 use crate::body::{ReplyBody, reply};
 use hyper::{Response, StatusCode};
@@ -7,9 +7,8 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::format::FmtSpan;
 
-/// Begins logging to standard error. Closed spans are logged with their times when the filter
-/// lets them through (spans are at debug level).
-pub fn start_logs(json: bool, filter: &str) {
+/// Starts logging to standard error. Closed spans are logged with their durations if the filter enables debug level.
+pub fn init_logging(json: bool, filter: &str) {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
@@ -23,21 +22,22 @@
     drop(started);
 }
 
-/// Lines that may wait to be written. Each has some 300 bytes, so this is at most about 1 MB.
-const WAITING_LINES: usize = 4096;
+/// Maximum number of lines in the queue of the log writer. A line has about 300 bytes, so the queue takes at most
+/// about 1 MB.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// Keeps the log's writer running; what waits is written when it is dropped.
+/// Keeps the log writer running. The queued lines are written when it is dropped.
 #[derive(Debug)]
 pub struct LogGuard {
     _writer: WorkerGuard,
 }
 
-/// Begins logging to standard output without ever blocking: a thread writes, and lines that find
-/// its queue full are counted, told and dropped.
-pub fn start_decision_logs(json: bool, filter: &str) -> LogGuard {
+/// Starts non-blocking logging to standard output. A thread writes the lines; lines that find its queue full are
+/// counted, reported and dropped.
+pub fn init_nonblocking_logging(json: bool, filter: &str) -> LogGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .finish(std::io::stdout());
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
@@ -50,17 +50,17 @@
         false => builder.try_init(),
     };
     if let Err(error) = started {
-        eprintln!("log: Logs cannot begin: {error}.");
+        eprintln!("log: Logging cannot be started: {error}.");
     }
     LogGuard { _writer: guard }
 }
 
-/// A registry whose metrics all begin with `sillbank_` and the part's name.
+/// Creates a registry whose metric names start with `sillbank_` and the part's name.
 pub fn new_registry(part: &str) -> Registry {
     Registry::with_prefix(format!("sillbank_{part}"))
 }
 
-/// The reply to a metrics request.
+/// Creates the reply to a metrics request.
 pub fn metrics_reply(registry: &Registry) -> Response<ReplyBody> {
     let mut text = String::new();
     if prometheus_client::encoding::text::encode(&mut text, registry).is_err() {
--- a/crates/sillbank_net/tests/kept.rs
+++ b/crates/sillbank_net/tests/kept.rs
@@ -1,69 +1,72 @@
-//! The count of kept bytes: who gives way, and that it comes back to zero.
+//! The memory budget: its limit, which connections are cut, and the release of all bytes.
 
 use arbitrary::Unstructured;
-use sillbank_net::kept::{KeptBytes, KeptShare, UnreadBytes};
+use sillbank_net::memory_budget::{MemoryBudget, MemoryReservation, UnreadBytes};
 use sillbank_testing::for_fixed_seeds;
 
-const BOUND_BYTES: usize = 1_000;
+const LIMIT_BYTES: usize = 1_000;
 
+/// At the limit the connection that has been stalled for longest is cut, and no other.
 #[test]
-fn the_connection_on_which_nothing_was_read_for_longest_goes_first() {
-    let kept = KeptBytes::new(BOUND_BYTES);
-    let [first, second, third] = [kept.open(), kept.open(), kept.open()];
+fn longest_stalled_connection_is_cut_first() {
+    let budget = MemoryBudget::new(LIMIT_BYTES);
+    let [first, second, third] =
+        [budget.register_connection(), budget.register_connection(), budget.register_connection()];
     for connection in [&first, &second, &third] {
-        connection.on_waiting(300);
+        connection.on_queued(300);
         connection.on_taken(300);
     }
-    first.on_read(1);
+    first.on_written(1);
 
-    third.on_waiting(200);
+    third.on_queued(200);
 
     assert!(second.is_cut());
     assert!(!first.is_cut() && !third.is_cut());
-    assert_eq!(kept.kept_bytes(), 299 + 500);
+    assert_eq!(budget.used_bytes(), 299 + 500);
 }
 
+/// A reservation that does not fit is refused instead of cutting a connection that was read a moment ago.
 #[test]
-fn a_new_request_does_not_cut_those_that_read_a_moment_ago() {
-    let kept = KeptBytes::new(BOUND_BYTES);
-    let reader = kept.open();
-    reader.on_waiting(900);
+fn reservation_does_not_cut_recent_readers() {
+    let budget = MemoryBudget::new(LIMIT_BYTES);
+    let reader = budget.register_connection();
+    reader.on_queued(900);
 
-    let refused = kept.try_keep(200);
-    let fits = kept.try_keep(100);
+    let refused = budget.try_reserve(200);
+    let fits = budget.try_reserve(100);
 
     assert!(refused.is_none() && fits.is_some());
     assert!(!reader.is_cut());
-    assert_eq!(kept.kept_bytes(), BOUND_BYTES);
+    assert_eq!(budget.used_bytes(), LIMIT_BYTES);
 }
 
 enum Holder {
     Connection(UnreadBytes),
-    Share(KeptShare),
+    Reservation(MemoryReservation),
 }
 
 fn step(
     u: &mut Unstructured<'_>,
-    kept: &KeptBytes,
+    budget: &MemoryBudget,
     held: &mut Vec<Holder>,
 ) -> arbitrary::Result<()> {
-    let bytes = u.int_in_range(0..=2 * BOUND_BYTES)?;
+    let bytes = u.int_in_range(0..=2 * LIMIT_BYTES)?;
     if held.is_empty() || u.ratio(1, 4)? {
         match u.arbitrary()? {
-            true => held.push(Holder::Connection(kept.open())),
-            false => held.extend(kept.try_keep(bytes).map(Holder::Share)),
+            true => held.push(Holder::Connection(budget.register_connection())),
+            false => held.extend(budget.try_reserve(bytes).map(Holder::Reservation)),
         }
         return Ok(());
     }
     let index = u.choose_index(held.len())?;
     match &mut held[index] {
-        Holder::Share(share) => {
-            share.try_resize(bytes);
+        Holder::Reservation(reservation) => {
+            reservation.try_resize(bytes);
         }
         Holder::Connection(connection) => match u.int_in_range(0..=3)? {
-            0 => connection.on_waiting(bytes),
+            0 => connection.on_queued(bytes),
             1 => connection.on_taken(bytes),
-            2 => connection.on_read(bytes),
+            2 => connection.on_written(bytes),
             _ => connection.on_dropped(),
         },
     }
@@ -73,17 +76,18 @@
     Ok(())
 }
 
+/// The limit holds after each of any sequence of operations, and nothing stays counted at the end.
 #[test]
-fn the_bound_holds_after_each_step_and_nothing_stays_counted() {
+fn limit_holds_and_all_bytes_are_released() {
     for_fixed_seeds(200, 2_048, |u| {
-        let kept = KeptBytes::new(BOUND_BYTES);
+        let budget = MemoryBudget::new(LIMIT_BYTES);
         let mut held = Vec::new();
         for _ in 0..60 {
-            step(u, &kept, &mut held)?;
-            assert!(kept.kept_bytes() <= BOUND_BYTES);
+            step(u, &budget, &mut held)?;
+            assert!(budget.used_bytes() <= LIMIT_BYTES);
         }
         held.clear();
-        assert_eq!((kept.kept_bytes(), kept.connections()), (0, 0));
+        assert_eq!((budget.used_bytes(), budget.connections()), (0, 0));
         Ok(())
     });
 }
--- a/crates/sillbank_net/tests/slow_readers.rs
+++ b/crates/sillbank_net/tests/slow_readers.rs
@@ -1,4 +1,4 @@
-//! Callers that hardly read do not take the memory of a process, nor that of callers who read.
+//! Callers that read slowly use up neither the memory of the process nor that of other callers.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,20 +13,20 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-const BOUND_BYTES: usize = 4 << 20;
+const LIMIT_BYTES: usize = 4 << 20;
 const SLOW_CALLERS: usize = 500;
-/// More than one caller may leave unread.
+/// Number of events in an answer: more bytes than one caller may leave unread.
 const EVENTS: usize = 2_000;
 const EVENT: &[u8; 100] = &[b'e'; 100];
-/// What an endpoint is let send ahead of its caller.
-const AHEAD_BYTES: usize = 64 << 10;
-/// What the network holds for a caller before it holds up the writer.
+/// Bytes that an endpoint may send ahead of its caller.
+const MAX_AHEAD_BYTES: usize = 64 << 10;
+/// Bytes that the network buffers for a caller before it blocks the writer.
 const WINDOW_BYTES: usize = 1_000;
 /// Heads and framing of one answer.
 const FRAMING_BYTES: usize = 512;
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// One caller's connection as both its ends see it.
+/// State of the connection of a caller, shared by both ends.
 #[derive(Debug, Default)]
 struct LinkState {
     request: Vec<u8>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// The server's end; dropped when it closes the connection.
+/// Server end of a connection; dropped when the server closes it.
 struct ServerEnd(Link);
 
 impl Drop for ServerEnd {
@@ -101,26 +101,26 @@
     }
 }
 
-/// Answers with a stream, or with the same bytes whole, and counts what it wrote.
+/// Handler that answers with a stream or with a complete body of the same bytes, and counts what it wrote.
 struct Answers {
     executor: Rc<LocalExecutor<'static>>,
-    is_whole: bool,
+    is_complete: bool,
     written: Rc<RefCell<Vec<usize>>>,
 }
 
 impl Handler for Answers {
     async fn handle(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         let number: usize = request.uri().path()[1..].parse().expect("a number");
-        if self.is_whole {
+        if self.is_complete {
             self.written.borrow_mut()[number] = EVENTS * EVENT.len();
-            return Response::new(ReplyBody::Whole(Full::new(Bytes::from(EVENT.repeat(EVENTS)))));
+            return Response::new(ReplyBody::Full(Full::new(Bytes::from(EVENT.repeat(EVENTS)))));
         }
         let (outbox, body) = Outbox::new();
         let written = self.written.clone();
         let write = async move {
             for _ in 0..EVENTS {
-                outbox.drained_to(AHEAD_BYTES).await;
-                if outbox.reader_gone() {
+                outbox.drained_to(MAX_AHEAD_BYTES).await;
+                if outbox.reader_closed() {
                     return;
                 }
                 outbox.write(EVENT);
@@ -136,18 +136,18 @@
 /// Callers of one process.
 struct Callers {
     executor: Rc<LocalExecutor<'static>>,
-    kept: KeptBytes,
+    budget: MemoryBudget,
     links: Vec<Link>,
     written: Rc<RefCell<Vec<usize>>>,
 }
 
 impl Callers {
-    fn new(bound_bytes: usize, count: usize, is_whole: bool) -> Self {
+    fn new(limit_bytes: usize, count: usize, is_complete: bool) -> Self {
         let executor = Rc::new(LocalExecutor::new());
-        let kept = KeptBytes::new(bound_bytes);
+        let budget = MemoryBudget::new(limit_bytes);
         let written = Rc::new(RefCell::new(vec![0; count]));
         let handler =
-            Rc::new(Answers { executor: executor.clone(), is_whole, written: written.clone() });
+            Rc::new(Answers { executor: executor.clone(), is_complete, written: written.clone() });
         let links: Vec<Link> = (0..count).map(|_| Link::default()).collect();
         let stopper = Stopper::default();
         for (number, link) in links.iter().enumerate() {
@@ -156,18 +156,19 @@
             link.0.replace(state);
             let limits = ServerLimits { max_head_bytes: 16 << 10, ..ServerLimits::default() };
             let end = ServerEnd(link.clone());
-            let (handler, stop, unread) = (handler.clone(), stopper.token(), kept.open());
+            let (handler, stop, unread) =
+                (handler.clone(), stopper.token(), budget.register_connection());
             executor.spawn(serve_connection(end, limits, handler, stop, unread)).detach();
         }
         std::mem::forget(stopper);
-        Self { executor, kept, links, written }
+        Self { executor, budget, links, written }
     }
 
     fn run(&self) {
         while self.executor.try_tick() {}
     }
 
-    /// What was written for open connections and has not been received there, whoever counts it.
+    /// Bytes written for open connections and not received there, counted independently of the budget.
     fn outstanding_bytes(&self) -> usize {
         let written = self.written.borrow();
         let of_link = |(link, written): (&Link, &usize)| {
@@ -178,62 +179,66 @@
         self.links.iter().zip(written.iter()).map(of_link).sum()
     }
 
-    fn is_whole(&self, number: usize) -> bool {
+    fn is_complete(&self, number: usize) -> bool {
         let state = self.links[number].0.borrow();
         let body = state.received.iter().filter(|byte| **byte == b'e').count();
         body >= EVENTS * EVENT.len()
     }
 }
 
-/// What is kept beyond the ledger: framing, and pieces that are on their way out of it.
+/// Bytes buffered beyond those that the budget counts: framing, and chunks that are being written.
 const SLACK_BYTES: usize = SLOW_CALLERS * FRAMING_BYTES;
 
+/// 500 callers that read one byte per second stay under the limit, and a fast caller receives its complete answer. Some
+/// slow callers are cut, and none of their answers looks complete.
 #[test]
-fn five_hundred_callers_that_read_a_byte_a_second_stay_under_the_bound_and_others_are_served() {
-    let callers = Callers::new(BOUND_BYTES, SLOW_CALLERS + 1, false);
-    let quick = SLOW_CALLERS;
+fn slow_readers_stay_under_the_limit_and_fast_ones_are_served() {
+    let callers = Callers::new(LIMIT_BYTES, SLOW_CALLERS + 1, false);
+    let fast = SLOW_CALLERS;
 
     for _second in 0..60 {
         callers.run();
         for link in &callers.links[..SLOW_CALLERS] {
             link.read(1);
         }
-        callers.links[quick].read(1 << 20);
+        callers.links[fast].read(1 << 20);
         callers.run();
-        assert!(callers.kept.kept_bytes() <= BOUND_BYTES);
-        assert!(callers.outstanding_bytes() <= BOUND_BYTES + SLACK_BYTES);
+        assert!(callers.budget.used_bytes() <= LIMIT_BYTES);
+        assert!(callers.outstanding_bytes() <= LIMIT_BYTES + SLACK_BYTES);
     }
 
     let cut = callers.links.iter().filter(|link| link.0.borrow().is_closed).count();
-    assert_eq!(cut as u64, callers.kept.cut());
+    assert_eq!(cut as u64, callers.budget.cut_connections());
     assert!(cut > 0);
-    assert!(callers.is_whole(quick));
+    assert!(callers.is_complete(fast));
     for link in &callers.links[..SLOW_CALLERS] {
-        assert!(!link.0.borrow().received.ends_with(LAST_CHUNK), "broken off, not ended");
+        assert!(!link.0.borrow().received.ends_with(LAST_CHUNK), "aborted, not ended");
     }
 }
 
+/// Answers with complete bodies that nobody reads stay under the limit too.
 #[test]
-fn whole_answers_that_nobody_reads_are_bounded_too() {
-    let callers = Callers::new(BOUND_BYTES, SLOW_CALLERS + 1, true);
+fn unread_complete_answers_stay_under_the_limit() {
+    let callers = Callers::new(LIMIT_BYTES, SLOW_CALLERS + 1, true);
 
     callers.links[SLOW_CALLERS].read(1 << 20);
     callers.run();
 
-    assert!(callers.kept.kept_bytes() <= BOUND_BYTES);
-    assert!(callers.outstanding_bytes() <= BOUND_BYTES + SLACK_BYTES);
-    assert!(callers.is_whole(SLOW_CALLERS));
+    assert!(callers.budget.used_bytes() <= LIMIT_BYTES);
+    assert!(callers.outstanding_bytes() <= LIMIT_BYTES + SLACK_BYTES);
+    assert!(callers.is_complete(SLOW_CALLERS));
 }
 
+/// After all callers have read their answers nothing stays counted, and none was cut.
 #[test]
-fn callers_that_read_all_leave_nothing_counted() {
-    let callers = Callers::new(BOUND_BYTES, 20, false);
+fn callers_that_read_everything_leave_nothing_counted() {
+    let callers = Callers::new(LIMIT_BYTES, 20, false);
 
     for link in &callers.links {
         link.read(1 << 20);
     }
     callers.run();
 
-    assert!((0..20).all(|number| callers.is_whole(number)));
-    assert_eq!((callers.kept.kept_bytes(), callers.kept.cut()), (0, 0));
+    assert!((0..20).all(|number| callers.is_complete(number)));
+    assert_eq!((callers.budget.used_bytes(), callers.budget.cut_connections()), (0, 0));
 }
--- a/crates/sillbank_standin/src/main.rs
+++ b/crates/sillbank_standin/src/main.rs
@@ -42,7 +42,7 @@
         println!("sillbank-standin {}", env!("CARGO_PKG_VERSION"));
         return std::process::ExitCode::SUCCESS;
     }
-    sillbank_net::telemetry::start_logs(false, "warn");
+    sillbank_net::telemetry::init_logging(false, "warn");
     let executor = Rc::new(LocalExecutor::new());
     let ended = smol::block_on(executor.run(run(executor.clone(), arguments.role)));
     match ended {
