--- a/crates/sillbank_entry/src/services.rs
+++ b/crates/sillbank_entry/src/services.rs
@@ -12,7 +12,7 @@
 use sillbank_net::body::reply;
 use sillbank_net::client::request;
 use sillbank_net::prelude::*;
-use sillbank_protocol::once::{ClaimAnswer, ClaimEnd};
+use sillbank_protocol::once::{ClaimAnswer, ClaimState};
 use sillbank_settings::prelude::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -114,13 +114,13 @@
         ClaimAnswer::Granted(claim) => Ok(claim),
         ClaimAnswer::Taken(end) => {
             let run = match end {
-                ClaimEnd::Ran => RunState::Ran,
-                ClaimEnd::Open | ClaimEnd::Unknown => RunState::Unknown,
+                ClaimState::Ran => RunState::Ran,
+                ClaimState::Open | ClaimState::Unknown => RunState::Unknown,
             };
             let reason = "A call with this key came before; this one was not run.";
             Err(Failure::new(FailureKind::AlreadyClaimed, run, reason))
         }
-        ClaimAnswer::CannotKnow { wait_ms } => {
+        ClaimAnswer::Undetermined { wait_ms } => {
             let reason = "A call with this key may have come before a VM was lost; \
                           this one was not run.";
             let failure = Failure::new(FailureKind::ClaimUnknown, RunState::Unknown, reason);
--- a/crates/sillbank_once/src/claims.rs
+++ b/crates/sillbank_once/src/claims.rs
@@ -1,7 +1,7 @@
 //! The claimed keys of one slot, kept by its holder.
 
 use sillbank_core::prelude::*;
-use sillbank_protocol::once::{Claim, ClaimAnswer, ClaimEnd};
+use sillbank_protocol::once::{Claim, ClaimAnswer, ClaimState};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -66,20 +66,20 @@
         let retention_ms = retention.as_millis() as u64;
         self.forget(now_ms, retention_ms);
         if let Some(claim) = self.claims.get(&uid) {
-            return ClaimAnswer::Taken(claim.end);
+            return ClaimAnswer::Taken(claim.state);
         }
         let margin_ms = CLOCK_MARGIN.as_millis() as u64;
         let age_ms = now_ms.saturating_sub(minted_ms.unwrap_or(now_ms));
         if age_ms > retention_ms.saturating_sub(margin_ms) {
             // It could have been claimed and forgotten.
-            return ClaimAnswer::CannotKnow { wait_ms: u64::MAX };
+            return ClaimAnswer::Undetermined { wait_ms: u64::MAX };
         }
         let newer = minted_ms.is_some_and(|minted| minted > self.complete_from_ms + margin_ms);
         let known_at = self.complete_from_ms + retention_ms;
         if self.complete_from_ms > 0 && !newer && now_ms < known_at {
-            return ClaimAnswer::CannotKnow { wait_ms: known_at - now_ms };
+            return ClaimAnswer::Undetermined { wait_ms: known_at - now_ms };
         }
-        let claim = Claim { uid, claim: draw, claimed_ms: now_ms, end: ClaimEnd::Open };
+        let claim = Claim { uid, claim: draw, claimed_ms: now_ms, state: ClaimState::Open };
         self.claims.insert(uid, claim);
         self.order.push_back((now_ms, uid));
         ClaimAnswer::Granted(draw)
@@ -92,8 +92,8 @@
         };
         match run {
             RunState::NotRun => drop(self.claims.remove(&uid)),
-            RunState::Ran => held.end = ClaimEnd::Ran,
-            RunState::Unknown => held.end = ClaimEnd::Unknown,
+            RunState::Ran => held.state = ClaimState::Ran,
+            RunState::Unknown => held.state = ClaimState::Unknown,
         }
     }
 
--- a/crates/sillbank_once/src/lib.rs
+++ b/crates/sillbank_once/src/lib.rs
@@ -15,5 +15,5 @@
 
 pub use claims::Claims;
 pub use key::{CallKey, SlotId, mint, slot_names};
-pub use sillbank_protocol::once::{Claim, ClaimAnswer, ClaimEnd};
+pub use sillbank_protocol::once::{Claim, ClaimAnswer, ClaimState};
 pub use slot::{Slot, Tenure};
--- a/crates/sillbank_once/tests/once.rs
+++ b/crates/sillbank_once/tests/once.rs
@@ -1,7 +1,7 @@
 //! A key is granted at most once, whoever holds its slot.
 
 use sillbank_core::prelude::*;
-use sillbank_once::{CallKey, ClaimAnswer, ClaimEnd, Claims, mint, slot_names};
+use sillbank_once::{CallKey, ClaimAnswer, ClaimState, Claims, mint, slot_names};
 use sillbank_protocol::gossip::SealKey;
 use sillbank_testing::for_fixed_seeds;
 use std::collections::HashMap;
@@ -23,8 +23,8 @@
     let afterwards = claims.claim(3000, uid(1), None, 9, RETENTION);
 
     assert_eq!(first, ClaimAnswer::Granted(7));
-    assert_eq!(while_open, ClaimAnswer::Taken(ClaimEnd::Open));
-    assert_eq!(afterwards, ClaimAnswer::Taken(ClaimEnd::Ran));
+    assert_eq!(while_open, ClaimAnswer::Taken(ClaimState::Open));
+    assert_eq!(afterwards, ClaimAnswer::Taken(ClaimState::Ran));
 }
 
 #[test]
@@ -37,7 +37,7 @@
     claims.end(uid(1), 7, RunState::NotRun);
     let freed = claims.claim(1002, uid(1), None, 9, RETENTION);
 
-    assert_eq!(still, ClaimAnswer::Taken(ClaimEnd::Open));
+    assert_eq!(still, ClaimAnswer::Taken(ClaimState::Open));
     assert_eq!(freed, ClaimAnswer::Granted(9));
 }
 
@@ -52,9 +52,9 @@
     let minted_after = claims.claim(1_010_000, uid(4), Some(1_006_000), 4, RETENTION);
     let later = claims.claim(1_600_001, uid(1), None, 5, RETENTION);
 
-    assert_eq!(own_key, ClaimAnswer::CannotKnow { wait_ms: 590_000 });
-    assert!(matches!(minted_before, ClaimAnswer::CannotKnow { .. }));
-    assert!(matches!(minted_within_the_clocks_margin, ClaimAnswer::CannotKnow { .. }));
+    assert_eq!(own_key, ClaimAnswer::Undetermined { wait_ms: 590_000 });
+    assert!(matches!(minted_before, ClaimAnswer::Undetermined { .. }));
+    assert!(matches!(minted_within_the_clocks_margin, ClaimAnswer::Undetermined { .. }));
     assert_eq!(minted_after, ClaimAnswer::Granted(4));
     assert_eq!(later, ClaimAnswer::Granted(5));
 }
@@ -65,7 +65,7 @@
 
     let old = claims.claim(10_000_000, uid(1), Some(9_000_000), 1, RETENTION);
 
-    assert!(matches!(old, ClaimAnswer::CannotKnow { .. }));
+    assert!(matches!(old, ClaimAnswer::Undetermined { .. }));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     let mut next = Claims::handed_over(all, complete_from);
 
     let again = next.claim(710_000, uid(1), None, 8, RETENTION);
-    assert_eq!(again, ClaimAnswer::Taken(ClaimEnd::Open));
+    assert_eq!(again, ClaimAnswer::Taken(ClaimState::Open));
     assert_eq!(next.claim(710_000, uid(2), None, 9, RETENTION), ClaimAnswer::Granted(9));
 }
 
--- a/crates/sillbank_protocol/src/engine.rs
+++ b/crates/sillbank_protocol/src/engine.rs
@@ -1,150 +1,150 @@
-//! Steps and their replies, as JSON lines on one long `POST /v1/steps` exchange per engine.
+//! Steps and their replies, as JSON lines over one long-lived `POST /v1/steps` exchange per engine.
 
 use serde::{Deserialize, Serialize};
 use sillbank_core::prelude::*;
 
 /// Path of the streamed exchange.
 pub const STEPS_PATH: &str = "/v1/steps";
-/// Path below which an engine that holds layer 0 tells what it was given for a request.
+/// Path prefix at which an engine that holds layer 0 reports the state of a request as a [`StreamState`].
 pub const STREAMS_PATH: &str = "/v1/streams/";
-/// Longest accepted line, in bytes.
+/// Maximum length of a line, in bytes.
 pub const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// A line from entry to engine.
+/// A line sent from an entry to an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRequest {
-    /// Run layers over positions.
+    /// Runs layers over positions.
     Step(Step),
-    /// Forget a request.
+    /// Ends a request.
     Cancel {
-        /// The request.
+        /// Id of the request.
         uid: RequestUid,
-        /// Attempts up to this one end.
+        /// Attempts up to and including this one are ended.
         attempt: Attempt,
     },
 }
 
-/// Run `layers` over `inputs.len()` positions from `start` on.
+/// Runs `layers` over `inputs.len()` positions, beginning at `start`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// The request.
+    /// Id of the request.
     pub uid: RequestUid,
-    /// Number of the try; the engine refuses smaller ones than it has seen.
+    /// Number of the attempt. The engine refuses numbers smaller than the greatest it has seen.
     pub attempt: Attempt,
     /// First position.
     pub start: Position,
     /// Layers to run.
     pub layers: LayerRange,
-    /// Seed for sampling, used by the stage that holds the last layer.
+    /// Sampling seed, used by the stage that holds the last layer.
     pub seed: u64,
-    /// Greater goes first.
+    /// Priority; steps with a greater value run first.
     pub priority: u8,
-    /// One activation for each position: opaque to sillbank, a value or a reference.
+    /// One activation per position: a value or a reference, opaque to sillbank.
     pub inputs: Vec<u64>,
 }
 
-/// A line from engine to entry.
+/// A line sent from an engine to an entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StepReply {
-    /// The request.
+    /// Id of the request.
     pub uid: RequestUid,
-    /// Attempt of the step that is answered.
+    /// Attempt of the answered step.
     pub attempt: Attempt,
-    /// First position of the step that is answered.
+    /// First position of the answered step.
     pub start: Position,
-    /// What came of it.
+    /// Outcome of the step.
     pub outcome: StepOutcome,
-    /// Load of the engine when it answered.
+    /// Load of the engine at the time of the reply.
     pub load: EngineLoad,
 }
 
-/// Path at which an engine says what it holds.
+/// Path at which an engine reports its [`EngineState`].
 pub const STATE_PATH: &str = "/v1/state";
-/// Path at which an engine takes orders.
+/// Path at which an engine accepts a [`LoadOrder`].
 pub const ORDERS_PATH: &str = "/v1/orders";
 
-/// What an engine holds.
+/// Layers and status of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
     /// Layers it holds.
     pub layers: LayerRange,
-    /// Whether it is loading others.
+    /// Whether it is loading other layers.
     pub loading: bool,
-    /// Whether it takes no new request.
+    /// Whether it is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Greatest fence it has seen.
+    /// Greatest fencing token that it has seen.
     pub fence: u64,
 }
 
-/// An order to load layers. An engine that checks fences answers 409 and does nothing if it has
-/// seen a greater one.
+/// Order to load layers. An engine that checks fencing tokens ignores the order and returns 409 if it has seen a
+/// greater one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// Version of the lease under which the order is given.
+    /// Fencing token: the version of the lease under which the order is given.
     pub fence: u64,
     /// Layers to hold.
     pub layers: LayerRange,
 }
 
-/// What an engine that holds layer 0 was given for a request, so that another VM can go on.
+/// State of a request at an engine that holds layer 0, from which another VM can continue it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamState {
-    /// Greatest attempt seen.
+    /// Greatest attempt that the engine has seen.
     pub attempt: Attempt,
-    /// Tokens of the sequence, prompt first.
+    /// Tokens of the sequence, beginning with the prompt.
     pub tokens: Vec<u64>,
 }
 
-/// What came of a step.
+/// Outcome of a step.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepOutcome {
-    /// The layers ran once at each position.
+    /// The layers were run once for each position.
     Done {
-        /// One activation for each position.
+        /// One activation per position.
         outputs: Vec<u64>,
-        /// Token drawn after the last position, from the stage that holds the last layer.
+        /// Token sampled after the last position; only the stage that holds the last layer returns one.
         token: Option<TokenId>,
     },
     /// Nothing was run.
     Refused(Refusal),
 }
 
-/// Why an engine ran nothing.
+/// Why an engine refused a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// A greater attempt was seen.
+    /// The engine has seen a greater attempt.
     StaleAttempt {
-        /// The greatest seen.
+        /// The greatest attempt seen.
         newest: Attempt,
     },
-    /// The start is not the next position; the engine holds this many.
+    /// The step does not start at the next position.
     NotNext {
-        /// Positions held.
+        /// Number of positions that the engine has built.
         built: Position,
     },
     /// The engine does not hold these layers.
     WrongLayers,
-    /// No room for another request.
+    /// The engine has no capacity for another request.
     Full,
-    /// The engine is leaving and takes no new request.
+    /// The engine is leaving and accepts no new requests.
     Leaving,
 }
 
-/// Load, riding on every reply.
+/// Load of an engine, included in every reply.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Steps waiting when the batch was taken.
+    /// Number of steps waiting when the batch was started.
     pub queued: u32,
-    /// Requests whose KV cache is held.
+    /// Number of requests whose KV cache is held.
     pub held: u32,
     /// Time from arrival to the start of the batch, in microseconds.
     pub wait_us: u32,
-    /// Time of the batch, in microseconds.
+    /// Run time of the batch, in microseconds.
     pub run_us: u32,
-    /// Steps in the batch.
+    /// Number of steps in the batch.
     pub batch: u32,
     /// Free KV cache, in positions.
     pub kv_free_tokens: u32,
--- a/crates/sillbank_protocol/src/gossip.rs
+++ b/crates/sillbank_protocol/src/gossip.rs
@@ -1,7 +1,7 @@
-//! Datagrams between control processes.
+//! Gossip datagrams between control processes.
 //!
-//! Each is a postcard message with a keyed hash behind it. The key comes from settings; several
-//! may be accepted at a time, so that a key can be changed without a gap.
+//! Each datagram is a postcard message followed by a seal, which is a keyed hash (MAC). The key comes from settings;
+//! several keys may be accepted at a time, so that a key can be rotated without downtime.
 
 use crate::peer::DecodeError;
 use crate::platform::Version;
@@ -9,97 +9,97 @@
 use sillbank_core::prelude::*;
 use std::net::SocketAddr;
 
-/// Longest datagram, in bytes: under the usual MTU with room for tunnels.
+/// Maximum length of a datagram, in bytes: below the usual MTU of 1500, with a margin for tunnel headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Bytes of the keyed hash.
+/// Length of a seal, in bytes.
 const SEAL_BYTES: usize = 16;
 
-/// Number of one life of a VM: greater means later. A VM raises it to refute a suspicion.
+/// Incarnation number of a VM; a greater one is newer. A VM increments it to refute a suspicion.
 pub type Incarnation = u64;
 
-/// What a VM is believed to be.
+/// Membership state of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The VM responds.
     Alive,
-    /// It did not answer; it may refute.
+    /// The VM did not respond; it may still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The VM did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// The VM announced that it leaves.
     Left,
 }
 
-/// What is said of one VM. A greater (incarnation, state) is the newer word.
+/// Update about one VM. The update with the greater (incarnation, state) is newer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Name.
+    /// Name of the VM.
     pub vm: VmId,
-    /// Data hall.
+    /// Data hall of the VM.
     pub hall: HallId,
-    /// Where its datagrams come.
+    /// Address for gossip datagrams.
     pub gossip: SocketAddr,
-    /// Where its peers' connections come.
+    /// Address for connections of peers.
     pub peer: SocketAddr,
-    /// Its incarnation.
+    /// Incarnation of the VM.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// State of the VM.
     pub state: MemberState,
 }
 
-/// What a VM says of itself with every datagram.
+/// Summary of the settings and members that a VM holds, sent with every datagram.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Every change of settings up to this version is held.
+    /// All changes of settings up to this version are held.
     pub complete: Version,
-    /// Hash over all objects held, so that a gap shows.
+    /// Hash over all objects held, which reveals missing ones.
     pub digest: u64,
-    /// Settings up to this version are in force in the VM's entry.
+    /// Settings up to this version are in force in the entry of the VM.
     pub in_force: Version,
-    /// Age of the last word from the platform, direct or through peers, in milliseconds.
+    /// Time since the last answer from the platform, received directly or through peers, in milliseconds.
     pub platform_age_ms: u32,
-    /// Hash over all members known.
+    /// Hash over all known members.
     pub members_digest: u64,
 }
 
-/// What a datagram is for.
+/// Purpose of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipMessage {
-    /// Asks for an `Ack` with the same number.
+    /// Requests an `Ack` with the same number.
     Ping(u64),
     /// Answers a `Ping`.
     Ack(u64),
-    /// Asks the receiver to ping another VM and to pass the `Ack` on.
+    /// Requests that the receiver ping another VM and forward the `Ack`.
     PingRequest {
-        /// Number that the `Ack` is to carry.
+        /// Number that the `Ack` must carry.
         probe: u64,
         /// Name of the VM to ping.
         target: VmId,
     },
-    /// Settings are new: see the summary.
+    /// Announces new settings, described by the summary.
     News,
-    /// Asks for all members.
+    /// Requests all members.
     MembersRequest,
-    /// Some of the members, in the updates.
+    /// Carries some of the members in its updates.
     Members,
 }
 
-/// One datagram.
+/// A gossip datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Sender.
+    /// State of the sender.
     pub from: MemberUpdate,
-    /// Rises with every datagram of one life of the sender; an older one is a replay.
+    /// Sequence number, increasing with every datagram of an incarnation of the sender. An older one is a replay.
     pub sequence: u64,
-    /// What it is for.
+    /// Purpose of the datagram.
     pub message: GossipMessage,
-    /// What the sender says of itself.
+    /// Summary of the sender.
     pub summary: Summary,
-    /// What the sender heard of others.
+    /// Updates about other VMs that the sender received.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// A key that seals and opens.
+/// Key that seals messages and checks seals.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SealKey([u8; 32]);
 
@@ -110,12 +110,12 @@
 }
 
 impl SealKey {
-    /// Derives a key from the text in settings.
+    /// Derives a key from the text in the settings.
     pub fn from_text(text: &str) -> Self {
         Self(blake3::derive_key("sillbank peer key 2026", text.as_bytes()))
     }
 
-    /// The keyed hash of some bytes for a stated purpose.
+    /// Computes the seal of some bytes for the given purpose.
     pub fn seal(&self, purpose: &str, bytes: &[u8]) -> [u8; SEAL_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(&(purpose.len() as u64).to_le_bytes());
@@ -126,18 +126,18 @@
         seal
     }
 
-    /// Whether a seal is right. Compares in constant time.
+    /// Whether a seal is valid. Compares in constant time.
     pub fn check(&self, purpose: &str, bytes: &[u8], seal: &[u8]) -> bool {
-        let right = self.seal(purpose, bytes);
+        let expected = self.seal(purpose, bytes);
         seal.len() == SEAL_BYTES
-            && right.iter().zip(seal).fold(0, |diff, (a, b)| diff | (a ^ b)) == 0
+            && expected.iter().zip(seal).fold(0, |diff, (a, b)| diff | (a ^ b)) == 0
     }
 }
 
-/// Encodes and seals a datagram with the first key.
+/// Encodes and seals a datagram.
 ///
 /// # Errors
-/// [`DecodeError`] if it cannot be encoded or is over [`MAX_DATAGRAM_BYTES`].
+/// Returns [`DecodeError`] if it cannot be encoded or exceeds [`MAX_DATAGRAM_BYTES`].
 pub fn seal_datagram(datagram: &Datagram, key: &SealKey) -> Result<Vec<u8>, DecodeError> {
     let mut bytes =
         postcard::to_stdvec(datagram).map_err(|e| DecodeError::Malformed(e.to_string()))?;
@@ -149,10 +149,10 @@
     }
 }
 
-/// Checks a datagram against every accepted key and decodes it.
+/// Checks a datagram against all accepted keys and decodes it.
 ///
 /// # Errors
-/// [`DecodeError::Forged`] if no key fits, [`DecodeError`] if it is not a datagram.
+/// Returns [`DecodeError::Forged`] if no key matches the seal, [`DecodeError::Malformed`] if it is not a datagram.
 pub fn open_datagram(bytes: &[u8], keys: &[SealKey]) -> Result<Datagram, DecodeError> {
     let split = bytes.len().checked_sub(SEAL_BYTES).ok_or(DecodeError::Forged)?;
     let (content, seal) = bytes.split_at(split);
--- a/crates/sillbank_protocol/src/lib.rs
+++ b/crates/sillbank_protocol/src/lib.rs
@@ -1,10 +1,10 @@
-//! Messages between sillbank's processes, and the types of the outside interfaces it speaks.
+//! Messages between the processes of sillbank, and the types of the external interfaces that it uses.
 //!
 //! - [`engine`]: steps to model engines (JSON lines over one streamed HTTP exchange).
-//! - [`gossip`]: datagrams between control processes (postcard, sealed).
-//! - [`platform`]: the platform's object API (JSON over HTTP).
-//! - [`once`]: claims of calls not to be repeated.
-//! - [`peer`]: between entry and control, and between control processes (postcard).
+//! - [`gossip`]: datagrams between control processes (postcard, authenticated).
+//! - [`platform`]: object API of the platform (JSON over HTTP).
+//! - [`once`]: claims of at-most-once calls.
+//! - [`peer`]: messages between entry and control, and between control processes (postcard).
 
 #![forbid(unsafe_code)]
 
--- a/crates/sillbank_protocol/src/once.rs
+++ b/crates/sillbank_protocol/src/once.rs
@@ -1,46 +1,46 @@
-//! Claims of calls not to be repeated, between entry, control and the holder of a slot.
+//! Claims of at-most-once calls, exchanged between entry, control and the holder of a key slot.
 
 use serde::{Deserialize, Serialize};
 use sillbank_core::prelude::*;
 
-/// What is known of a claimed call.
+/// State of a claimed call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimEnd {
-    /// It may be running.
+pub enum ClaimState {
+    /// The call may be running.
     Open,
-    /// It ran.
+    /// The call ran.
     Ran,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// One claimed key.
+/// A claimed key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The key.
+    /// The claimed key.
     pub uid: RequestUid,
-    /// Drawn for each claim; only its holder may end it.
+    /// Random number of the claim; only a caller that knows it may end the claim.
     pub claim: u64,
-    /// When it was claimed, in milliseconds since 1970.
+    /// Time of the claim, in milliseconds since the Unix epoch.
     pub claimed_ms: u64,
-    /// What is known of the call.
-    pub end: ClaimEnd,
+    /// State of the call.
+    pub state: ClaimState,
 }
 
 /// The answer to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The call may run, under this claim.
+    /// The call may run under this claim.
     Granted(u64),
-    /// The key was claimed before; the call does not run.
-    Taken(ClaimEnd),
-    /// It cannot be known whether the key was claimed before; the call does not run.
-    CannotKnow {
-        /// When it will be known, in milliseconds from now.
+    /// The key was claimed before; the call must not run.
+    Taken(ClaimState),
+    /// It cannot be determined whether the key was claimed before; the call must not run.
+    Undetermined {
+        /// Time until it can be determined, in milliseconds; `u64::MAX` if it never can.
         wait_ms: u64,
     },
-    /// This VM does not hold the slot.
+    /// This VM does not hold the slot of the key.
     NotHolder,
-    /// The slot's holder cannot be found or reached; the call does not run.
+    /// The holder of the slot is unknown or unreachable; the call must not run.
     Unavailable,
 }
--- a/crates/sillbank_protocol/src/peer.rs
+++ b/crates/sillbank_protocol/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between sillbank's own processes: postcard, with a length in front on TCP.
+//! Messages between the processes of sillbank: length-prefixed postcard over TCP.
 
 use crate::gossip::SealKey;
 use crate::once::{Claim, ClaimAnswer};
@@ -6,67 +6,68 @@
 use serde::{Deserialize, Serialize};
 use sillbank_core::prelude::*;
 
-/// Longest accepted frame, in bytes: one object of the platform's largest size and its envelope.
+/// Maximum length of a frame, in bytes: one object of the largest size that the platform allows, and its envelope.
 pub const MAX_FRAME_BYTES: usize = (1 << 20) + (64 << 10);
 
-/// From a control process to the entry processes of its VM.
+/// Message from a control process to the entry processes of its VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ControlToEntry {
     /// Settings objects that are new to the entry.
     Objects(Vec<Object>),
-    /// All that control knew when the entry came was sent; the settings reach up to this version.
+    /// All objects that control held when the entry connected have been sent; the settings are complete up to this
+    /// version.
     Synced(Version),
     /// The answer to a claim.
     ClaimAnswer {
-        /// Number of the claim's message.
+        /// Message number of the claim.
         id: u64,
-        /// The answer.
+        /// Answer to the claim.
         answer: ClaimAnswer,
     },
-    /// The answer to `Mint`.
+    /// The answer to [`EntryToControl::Mint`].
     Minted {
-        /// Number of the message.
+        /// Message number of the request.
         id: u64,
         /// A new key.
         key: String,
     },
 }
 
-/// From an entry process to the control process of its VM.
+/// Message from an entry process to the control process of its VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum EntryToControl {
-    /// First message: who speaks, and the newest version it holds.
+    /// First message of a connection.
     Hello {
         /// VM of both processes.
         vm: VmId,
-        /// Newest version held; control sends what came after it.
+        /// Newest version that the entry holds; control sends the objects after it.
         after: Version,
     },
     /// All settings up to this version are in force in the entry.
     InForce(Version),
-    /// Claims a caller's key.
+    /// Claims the key of a caller.
     Claim {
-        /// Number of the message, for the answer.
+        /// Message number, repeated in the answer.
         id: u64,
-        /// The caller's organisation.
+        /// Organisation of the caller.
         organisation: OrganisationId,
-        /// The key as the caller gave it.
+        /// Key as sent by the caller.
         key: String,
     },
-    /// A claimed call has ended.
+    /// Reports that a claimed call has ended.
     ClaimEnded {
-        /// The caller's organisation.
+        /// Organisation of the caller.
         organisation: OrganisationId,
-        /// The key as the caller gave it.
+        /// Key as sent by the caller.
         key: String,
         /// The claim.
         claim: u64,
-        /// What is known of the call.
+        /// Whether the call ran, as far as is known.
         run: RunState,
     },
-    /// Asks for a new key.
+    /// Requests a new key.
     Mint {
-        /// Number of the message, for the answer.
+        /// Message number, repeated in the answer.
         id: u64,
     },
 }
@@ -74,18 +75,18 @@
 /// First message on a connection to a control process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToControl {
-    /// An entry of the same VM; it only comes over loopback.
+    /// From an entry process of the same VM, accepted only over loopback.
     Entry(EntryToControl),
-    /// A control process of another VM asks for something.
+    /// From a control process of another VM.
     Peer(SealedRequest),
 }
 
-/// What one control process asks of another.
+/// Request from one control process to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Every settings object newer than a version; the answer is some [`PullPart`]s.
+    /// Requests every settings object newer than a version; the answer is a sequence of [`PullPart`]s.
     Pull {
-        /// Version after which objects are wanted.
+        /// Version after which objects are requested.
         after: Version,
     },
     /// Claims a key; the answer is a [`ClaimAnswer`].
@@ -94,57 +95,57 @@
         slot: String,
         /// The key.
         uid: RequestUid,
-        /// When it was minted, in milliseconds since 1970, if sillbank minted it.
+        /// Time at which sillbank minted the key, in milliseconds since the Unix epoch, if it did.
         minted_ms: Option<u64>,
     },
-    /// A claimed call has ended; the answer is `true`.
+    /// Reports that a claimed call has ended; the answer is `true`.
     ClaimEnded {
         /// Slot of the key.
         slot: String,
         /// The key.
         uid: RequestUid,
-        /// Its claim.
+        /// The claim.
         claim: u64,
-        /// What is known of the call.
+        /// Whether the call ran, as far as is known.
         run: RunState,
     },
-    /// Takes over a slot's claims; the answer is `true` once they are held.
+    /// Hands over the claims of a slot to the receiver; the answer is `true` once it holds them.
     HandOver {
         /// The slot.
         slot: String,
-        /// All its claims.
+        /// All claims of the slot.
         claims: Vec<Claim>,
-        /// Keys claimed before this moment may be missing.
+        /// Time before which claims may be missing, in milliseconds since the Unix epoch.
         complete_from_ms: u64,
     },
 }
 
-/// A [`PeerRequest`] under a seal.
+/// A sealed [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SealedRequest {
-    /// Drawn for each request; the answer is sealed together with it.
+    /// Random number of the request, included in the seals of the answer.
     pub nonce: [u8; 16],
-    /// The request, encoded.
+    /// Encoded request.
     pub content: Vec<u8>,
     /// Seal over nonce and content.
     pub seal: [u8; 16],
 }
 
-/// One message of the answer to a request.
+/// A sealed message of the answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SealedPart {
-    /// The answer's part, encoded.
+    /// Encoded part of the answer.
     pub content: Vec<u8>,
-    /// Seal over the request's nonce, the part's number and the content.
+    /// Seal over the nonce of the request, the number of the part and the content.
     pub seal: [u8; 16],
 }
 
-/// Some of the objects asked for.
+/// Part of the objects requested by [`PeerRequest::Pull`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PullPart {
-    /// Objects, oldest first.
+    /// Objects, oldest version first.
     pub objects: Vec<Object>,
-    /// In the last part: every change up to this version was sent.
+    /// Set in the last part: all changes up to this version have been sent.
     pub complete: Option<Version>,
 }
 
@@ -152,17 +153,17 @@
     /// Seals a request.
     ///
     /// # Errors
-    /// [`DecodeError::Malformed`] if it cannot be encoded.
+    /// Returns [`DecodeError::Malformed`] if it cannot be encoded.
     pub fn new(key: &SealKey, nonce: [u8; 16], request: &PeerRequest) -> Result<Self, DecodeError> {
         let content = encode(request)?;
         let seal = key.seal("request", &[&nonce[..], &content].concat());
         Ok(Self { nonce, content, seal })
     }
 
-    /// Checks and decodes the request; answers the accepted key that sealed it, too.
+    /// Checks and decodes the request. Returns it with the accepted key that sealed it.
     ///
     /// # Errors
-    /// [`DecodeError::Forged`] if no key fits, [`DecodeError::Malformed`] if the content is no
+    /// Returns [`DecodeError::Forged`] if no key matches the seal, [`DecodeError::Malformed`] if the content is not a
     /// request.
     pub fn open<'a>(&self, keys: &'a [SealKey]) -> Result<(&'a SealKey, PeerRequest), DecodeError> {
         let bytes = [&self.nonce[..], &self.content].concat();
@@ -176,7 +177,7 @@
     /// Seals a part of the answer to a request.
     ///
     /// # Errors
-    /// [`DecodeError::Malformed`] if it cannot be encoded.
+    /// Returns [`DecodeError::Malformed`] if it cannot be encoded.
     pub fn new<T: Serialize>(
         key: &SealKey,
         nonce: &[u8; 16],
@@ -191,8 +192,7 @@
     /// Checks and decodes a part.
     ///
     /// # Errors
-    /// [`DecodeError::Forged`] if the seal does not fit, [`DecodeError::Malformed`] if the
-    /// content is no part.
+    /// Returns [`DecodeError::Forged`] if the seal is invalid, [`DecodeError::Malformed`] if the content is not a `T`.
     pub fn open<T: for<'a> Deserialize<'a>>(
         &self,
         key: &SealKey,
@@ -214,25 +214,25 @@
     postcard::to_stdvec(value).map_err(|e| DecodeError::Malformed(e.to_string()))
 }
 
-/// A frame that could not be decoded.
+/// Error of encoding or decoding a frame or datagram.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The length in front is over the limit.
+    /// The length exceeds the limit.
     #[error("a frame of {0} bytes is over the limit; check that the peer is sillbank")]
     TooLong(usize),
     /// The content is not the expected message.
     #[error("a frame is not readable ({0}); check that both sides run compatible versions")]
     Malformed(String),
-    /// The seal fits no accepted key.
+    /// The seal matches no accepted key.
     #[error("a message is not sealed with an accepted key; check 'peer_keys' on both VMs")]
     Forged,
 }
 
-/// Encodes a message with its length in front.
+/// Encodes a message as a length-prefixed frame.
 ///
 /// # Errors
-/// [`DecodeError::Malformed`] if the message cannot be encoded, [`DecodeError::TooLong`] if it
-/// is over [`MAX_FRAME_BYTES`].
+/// Returns [`DecodeError::Malformed`] if the message cannot be encoded, [`DecodeError::TooLong`] if it exceeds
+/// [`MAX_FRAME_BYTES`].
 pub fn encode_frame<M: Serialize>(message: &M) -> Result<Vec<u8>, DecodeError> {
     let mut frame = postcard::to_extend(message, vec![0; 4])
         .map_err(|e| DecodeError::Malformed(e.to_string()))?;
@@ -244,10 +244,10 @@
     Ok(frame)
 }
 
-/// Checks the length in front of a frame.
+/// Decodes and checks the length prefix of a frame.
 ///
 /// # Errors
-/// [`DecodeError::TooLong`] over [`MAX_FRAME_BYTES`].
+/// Returns [`DecodeError::TooLong`] if it exceeds [`MAX_FRAME_BYTES`].
 pub fn decode_length(header: [u8; 4]) -> Result<usize, DecodeError> {
     let length = u32::from_le_bytes(header) as usize;
     if length > MAX_FRAME_BYTES {
@@ -259,7 +259,7 @@
 /// Decodes the content of a frame.
 ///
 /// # Errors
-/// [`DecodeError::Malformed`] if it is not such a message.
+/// Returns [`DecodeError::Malformed`] if it is not an encoded `M`.
 pub fn decode_frame<M: for<'a> Deserialize<'a>>(content: &[u8]) -> Result<M, DecodeError> {
     postcard::from_bytes(content).map_err(|e| DecodeError::Malformed(e.to_string()))
 }
--- a/crates/sillbank_protocol/src/platform.rs
+++ b/crates/sillbank_protocol/src/platform.rs
@@ -1,48 +1,48 @@
-//! The platform's object API, as far as sillbank uses it.
+//! The part of the platform's object API that sillbank uses.
 //!
-//! - `GET /objects/KEY` answers an [`Object`] or 404.
-//! - `PUT /objects/KEY` with `If-Match: VERSION` or `If-None-Match: *` answers the new version,
-//!   or 412 with the object that is there.
-//! - `DELETE /objects/KEY` with `If-Match: VERSION`.
-//! - `GET /list?prefix=P` answers a [`Listing`].
-//! - `GET /watch?prefix=P&after=VERSION&wait_ms=N` answers a [`Listing`] of what changed, or an
-//!   empty one after the wait. Each call counts once.
-//! - `GET /vms` answers the list of VMs, which lags.
+//! - `GET /objects/KEY` returns an [`Object`] or 404.
+//! - `PUT /objects/KEY` with `If-Match: VERSION` or `If-None-Match: *` returns the new version,
+//!   or 412 with the current object.
+//! - `DELETE /objects/KEY` with `If-Match: VERSION` deletes the object.
+//! - `GET /list?prefix=P` returns a [`Listing`].
+//! - `GET /watch?prefix=P&after=VERSION&wait_ms=N` returns a [`Listing`] of the changed objects, or an
+//!   empty one when the wait is over. Each call counts once.
+//! - `GET /vms` returns the list of VMs, which may be stale.
 //!
-//! Versions are drawn from one counter of the store and only rise.
+//! Versions come from one counter of the store and only increase.
 
 use serde::{Deserialize, Serialize};
 
-/// Version of an object, from one rising counter of the store.
+/// Version of an object, from one increasing counter of the store.
 pub type Version = u64;
 
-/// A stored object. A deletion is kept as a version too.
+/// A version of a stored object. A deletion is a version too.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
-    /// Key.
+    /// Key of the object.
     pub key: String,
-    /// Version of this state.
+    /// Version number.
     pub version: Version,
-    /// Whether this state is a deletion.
+    /// Whether this version is a deletion.
     pub deleted: bool,
     /// JSON text, empty for a deletion.
     pub value: String,
 }
 
-/// Objects and the store's version they were read at.
+/// Objects and the version of the store at which they were read.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The store's version.
+    /// Version of the store.
     pub version: Version,
-    /// Objects, in rising order of version.
+    /// Objects in increasing order of version.
     pub objects: Vec<Object>,
 }
 
-/// A VM on the platform's list.
+/// A VM in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// Name.
+    /// Name of the VM.
     pub vm: String,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
--- a/crates/sillbank_protocol/tests/decoders.rs
+++ b/crates/sillbank_protocol/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever comes from a socket is decoded or refused; it never panics.
+//! Decoders of data from sockets decode or refuse their input and never panic.
 #![allow(clippy::unwrap_used)]
 
 use arbitrary::Unstructured;
@@ -20,8 +20,9 @@
     })
 }
 
+/// A decoded frame equals the encoded message.
 #[test]
-fn frames_come_back_as_they_were_sent() {
+fn frames_round_trip() {
     for_fixed_seeds(200, 300, |u| {
         let message = ControlToEntry::Objects(vec![object(u)?, object(u)?]);
 
@@ -34,8 +35,9 @@
     });
 }
 
+/// Decoders of frames and JSON lines never panic on arbitrary bytes.
 #[test]
-fn arbitrary_bytes_are_refused_or_decoded_without_a_panic() {
+fn arbitrary_bytes_do_not_panic() {
     for_fixed_seeds(500, 400, |u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         drop(decode_frame::<ControlToEntry>(&bytes));
@@ -47,8 +49,9 @@
     });
 }
 
+/// Decoding never panics on a frame with a changed byte and a missing end.
 #[test]
-fn a_truncated_or_changed_frame_never_panics() {
+fn truncated_or_changed_frame_does_not_panic() {
     for_fixed_seeds(300, 300, |u| {
         let frame = encode_frame(&ControlToEntry::Objects(vec![object(u)?])).unwrap();
         let mut content = frame[4..].to_vec();
@@ -61,15 +64,17 @@
     });
 }
 
+/// A length prefix over the limit is refused before the content is read.
 #[test]
-fn a_length_over_the_limit_is_refused_before_anything_is_read() {
+fn length_over_the_limit_is_refused() {
     let header = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes();
 
     assert_eq!(decode_length(header), Err(DecodeError::TooLong(MAX_FRAME_BYTES + 1)));
 }
 
+/// A step with extreme values is serialized as one line and parsed back unchanged.
 #[test]
-fn a_step_is_one_line() {
+fn step_is_one_line() {
     let step = Step {
         uid: RequestUid(1, u64::MAX),
         attempt: u64::MAX,
