--- a/crates/sillbank_control/src/admin.rs
+++ b/crates/sillbank_control/src/admin.rs
@@ -160,7 +160,7 @@
     fn place_of(&self, key: &str) -> Option<String> {
         let control = &self.control;
         control.store.objects().get(key)?;
-        control.store.tree().place_of(key)
+        control.store.tree().node_path_of(key)
     }
 
     fn operator(&self, headers: &HeaderMap) -> Result<Operator, AdminFailure> {
@@ -218,7 +218,7 @@
         let invalid =
             |problems: Problems| AdminFailure::new(AdminFailureKind::Invalid, problems.to_string());
         let object = read_object_value(key, value.clone()).map_err(invalid)?;
-        self.check_right(operator, key, Some(&object.place(key)))?;
+        self.check_right(operator, key, Some(&object.node_path(key)))?;
         self.control.store.tree().check_references(key, &object).map_err(invalid)?;
         let mark = self.new_mark();
         let note = WriteNote { by: operator.name.clone(), why: why(headers), mark: mark.clone() };
--- a/crates/sillbank_control/src/store.rs
+++ b/crates/sillbank_control/src/store.rs
@@ -2,7 +2,7 @@
 
 use sillbank_protocol::platform::{Object, Version};
 use sillbank_settings::prelude::*;
-use sillbank_settings::tree::Taken;
+use sillbank_settings::tree::ApplyOutcome;
 use sillbank_spread::ObjectStore;
 use smol::channel::{Receiver, Sender};
 use std::cell::{Cell, Ref, RefCell};
@@ -25,8 +25,8 @@
         if !self.objects.borrow_mut().take(object) {
             return false;
         }
-        let taken = self.tree.borrow_mut().take(&key, version, deleted, &value);
-        if let Taken::Invalid(problems) = taken {
+        let taken = self.tree.borrow_mut().apply(&key, version, deleted, &value);
+        if let ApplyOutcome::Invalid(problems) = taken {
             tracing::warn!("control: The last good value stays in force: {problems}.");
         }
         true
--- a/crates/sillbank_entry/src/control_link.rs
+++ b/crates/sillbank_entry/src/control_link.rs
@@ -8,7 +8,7 @@
 use sillbank_protocol::platform::{Object, Version};
 use sillbank_routing::prelude::*;
 use sillbank_settings::objects::EndpointObject;
-use sillbank_settings::tree::Taken;
+use sillbank_settings::tree::ApplyOutcome;
 use smol::Timer;
 use smol::channel::{Receiver, Sender};
 use smol::net::TcpStream;
@@ -90,11 +90,11 @@
 
 fn take(entry: &Rc<Entry>, object: &Object) {
     let taken =
-        entry.tree.borrow_mut().take(&object.key, object.version, object.deleted, &object.value);
+        entry.tree.borrow_mut().apply(&object.key, object.version, object.deleted, &object.value);
     match taken {
-        Taken::InForce => follow_endpoint(entry, &object.key),
-        Taken::Old => {}
-        Taken::Invalid(problems) => {
+        ApplyOutcome::InForce => follow_endpoint(entry, &object.key),
+        ApplyOutcome::Stale => {}
+        ApplyOutcome::Invalid(problems) => {
             tracing::warn!("entry: The last good value stays in force: {problems}.");
         }
     }
--- a/crates/sillbank_gateway/src/settings.rs
+++ b/crates/sillbank_gateway/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::mechanisms::Mechanisms;
 use sillbank_core::prelude::*;
-use sillbank_settings::process::{LogSettings, read_log};
+use sillbank_settings::process::{LogSettings, read_log_settings};
 use sillbank_settings::reader::{FieldReader, Problem, Problems};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -116,7 +116,7 @@
         retry_slack: reader.fraction("retry_slack", 100.0, 0.0..=1e6),
         retry_window: seconds(reader.fraction("retry_window_s", 10.0, 0.1..=600.0)),
         mechanisms: reader.table("mechanisms", Mechanisms::read),
-        log: read_log(&mut reader),
+        log: read_log_settings(&mut reader),
     };
     reader.finish().map(|()| settings)
 }
--- a/crates/sillbank_settings/src/lib.rs
+++ b/crates/sillbank_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings: those of a process, read from TOML at start, and the tree kept in the platform.
+//! Settings of processes, read from TOML files at start, and of the settings tree, stored in the platform.
 //!
-//! Both are read by the same [`reader::FieldReader`], which finds every fault in one pass and
-//! names file, path, reason and remedy for each.
+//! Both are read by [`reader::FieldReader`], which finds all problems in one pass and reports source, path, reason and
+//! remedy of each.
 
 #![forbid(unsafe_code)]
 
@@ -11,7 +11,7 @@
 pub mod reader;
 pub mod tree;
 
-/// The few types most users need.
+/// The types that most users need.
 pub mod prelude {
     pub use crate::objects::{
         EndpointObject, NodeObject, OperatorObject, OrganisationObject, PipelineObject,
@@ -19,5 +19,5 @@
     };
     pub use crate::policy::{Policy, PolicyPatch};
     pub use crate::reader::{Problem, Problems};
-    pub use crate::tree::{Effective, Tree};
+    pub use crate::tree::{EffectivePolicy, Tree};
 }
--- a/crates/sillbank_settings/src/objects.rs
+++ b/crates/sillbank_settings/src/objects.rs
@@ -1,4 +1,4 @@
-//! The objects of the tree: nodes, pipelines, organisations, endpoints and services.
+//! Objects of the settings tree: nodes, pipelines, organisations, endpoints, services and operators.
 
 use crate::policy::PolicyPatch;
 use crate::reader::{FieldReader, Problem, Problems};
@@ -6,78 +6,78 @@
 use serde_json::Value;
 use sillbank_core::prelude::*;
 
-/// Path of a node, from `/`.
+/// Path of a node, beginning with `/`.
 pub type NodePath = String;
 
-/// A node of the tree. Its path is its key.
+/// A node of the tree. Its key is derived from its path.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct NodeObject {
-    /// What it overrides.
+    /// Settings that it overrides.
     pub settings: PolicyPatch,
 }
 
-/// A pipeline: a model that several endpoints serve in stages.
+/// A pipeline: a model that is served in stages by several endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PipelineObject {
-    /// Node it is placed under.
+    /// Parent node.
     pub parent: NodePath,
-    /// Number of layers of its model.
+    /// Number of layers of the model.
     pub layers: u16,
-    /// What it overrides.
+    /// Settings that it overrides.
     pub settings: PolicyPatch,
 }
 
-/// An organisation that calls.
+/// An organisation, whose callers send requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrganisationObject {
-    /// Node it is placed under; it may call what is placed under the same top node.
+    /// Parent node. The organisation may call objects below the same top-level node.
     pub parent: NodePath,
-    /// Hashes of its keys, as [`hash_key`] makes them.
+    /// Hashes of its keys, as returned by [`hash_key`].
     pub key_hashes: Vec<String>,
-    /// What it overrides.
+    /// Settings that it overrides.
     pub settings: PolicyPatch,
 }
 
-/// A model engine.
+/// A generation endpoint, which is a model engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointObject {
-    /// Node it is placed under.
+    /// Parent node.
     pub parent: NodePath,
-    /// Data hall it stands in.
+    /// Data hall that it runs in.
     pub hall: HallId,
-    /// Accelerator kind.
+    /// Kind of its accelerator.
     pub kind: AcceleratorKind,
-    /// Pipeline it serves.
+    /// Pipeline that it serves.
     pub pipeline: PipelineId,
-    /// Layers it holds.
+    /// Layers that it holds.
     pub layers: LayerRange,
-    /// `IP:PORT` of its interface.
+    /// Address of its interface as `IP:PORT`.
     pub address: String,
-    /// Whether it checks the fence of an order.
+    /// Whether it checks the fencing token of an order.
     pub checks_fences: bool,
-    /// Whether it is leaving: it gets no new work.
+    /// Whether it is leaving and receives no new requests.
     pub leaving: bool,
 }
 
-/// A plain service.
+/// A service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceObject {
-    /// Node it is placed under.
+    /// Parent node.
     pub parent: NodePath,
-    /// `IP:PORT` of each of its endpoints.
+    /// Addresses of its endpoints as `IP:PORT`.
     pub addresses: Vec<String>,
-    /// Whether a call may be sent again when its answer was lost.
+    /// Whether calls are idempotent, so that one whose answer was lost may be retried.
     pub repeatable: bool,
-    /// What it overrides.
+    /// Settings that it overrides.
     pub settings: PolicyPatch,
 }
 
-/// An operator: who may change which part of the tree.
+/// An operator, who may change a part of the tree.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorObject {
-    /// Node under which this operator may write; `/` is everything.
+    /// Node below which the operator may write; `/` is the whole tree.
     pub subtree: NodePath,
-    /// Hashes of its keys, as [`hash_key`] makes them.
+    /// Hashes of its keys, as returned by [`hash_key`].
     pub key_hashes: Vec<String>,
 }
 
@@ -99,8 +99,8 @@
 }
 
 impl TreeObject {
-    /// Path of the node under which the object stands.
-    pub fn place(&self, key: &str) -> NodePath {
+    /// Returns the path of a node object, or of the parent of another object.
+    pub fn node_path(&self, key: &str) -> NodePath {
         match self {
             Self::Node(_) => format!("/{}", key.trim_start_matches("node/")),
             Self::Pipeline(object) => object.parent.clone(),
@@ -112,30 +112,30 @@
     }
 }
 
-/// Order in which kinds are written, so that what is named exists before what names it.
+/// Kinds of objects, in the order in which they are written, so that an object exists before others refer to it.
 pub const KINDS: [&str; 6] =
     ["node", "operator", "pipeline", "organisation", "service", "endpoint"];
 
-/// Who wrote an object and why; `mark` tells a writer its own write from another's.
+/// Who wrote an object and why.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteNote {
-    /// Operator.
+    /// Name of the operator.
     pub by: String,
-    /// Reason.
+    /// Reason of the write.
     pub why: String,
-    /// Drawn by the writer for each write.
+    /// Random string of the write, by which the writer recognises its own write.
     pub mark: String,
 }
 
-/// The hash under which a caller's or operator's key is kept in settings.
+/// Returns the hash of a caller's or operator's key as stored in the settings.
 pub fn hash_key(key: &str) -> String {
     sillbank_core::hash::hash_hex(&["sillbank key", key])
 }
 
-/// Reads and checks an object.
+/// Reads and checks an object from JSON text.
 ///
 /// # Errors
-/// Every fault found.
+/// Returns all problems found.
 pub fn read_object(key: &str, text: &str) -> Result<TreeObject, Problems> {
     let value: Value = serde_json::from_str(text).map_err(|e| {
         Problems(vec![Problem {
@@ -148,10 +148,10 @@
     read_object_value(key, value)
 }
 
-/// Reads and checks an object that is a value already.
+/// Reads and checks an object from a JSON value.
 ///
 /// # Errors
-/// Every fault found.
+/// Returns all problems found.
 pub fn read_object_value(key: &str, value: Value) -> Result<TreeObject, Problems> {
     let mut reader = FieldReader::new(key, value);
     reader.table("note", |note| {
@@ -168,7 +168,7 @@
         Some(("operator", _)) => TreeObject::Operator(read_operator(&mut reader)),
         _ => {
             let remedy = "use node/, pipeline/, organisation/, endpoint/, service/ or operator/";
-            reader.note("", "its key is of no known kind", remedy);
+            reader.add_problem("", "its key is of no known kind", remedy);
             TreeObject::Node(NodeObject::default())
         }
     };
@@ -186,7 +186,11 @@
 fn path(reader: &mut FieldReader, field: &str) -> NodePath {
     let path = reader.text(field);
     if !path.is_empty() && (!path.starts_with('/') || (path.len() > 1 && path.ends_with('/'))) {
-        reader.note(field, format!("'{path}' is not a path"), "write it as '/market/budapest'");
+        reader.add_problem(
+            field,
+            format!("'{path}' is not a path"),
+            "write it as '/market/budapest'",
+        );
     }
     path
 }
@@ -212,20 +216,20 @@
     OperatorObject { subtree: path(reader, "subtree"), key_hashes }
 }
 
-/// Reads a list of hashes of keys.
+/// Reads a list of key hashes.
 pub(crate) fn key_hashes(reader: &mut FieldReader, name: &str) -> Vec<String> {
     let hashes = reader.texts(name);
     let is_hash = |h: &String| h.len() == 64 && h.bytes().all(|b| b.is_ascii_hexdigit());
     if !hashes.iter().all(is_hash) {
-        reader.note(name, "an entry is not a hash", "make it with 'sillbank hash-key'");
+        reader.add_problem(name, "an entry is not a hash", "make it with 'sillbank hash-key'");
     }
     hashes
 }
 
-/// Reads a file of objects: tables `[KIND.NAME]`, nodes as `[node."/PATH"]`.
+/// Reads a TOML file of objects, written as tables `[KIND.NAME]`, and nodes as `[node."/PATH"]`.
 ///
 /// # Errors
-/// Every fault found in any of them.
+/// Returns all problems found in any of the objects.
 pub fn read_objects_file(source: &str, text: &str) -> Result<Vec<(String, Value)>, Problems> {
     let file: Value = toml::from_str(text).map_err(|e| {
         Problems(vec![Problem {
@@ -272,7 +276,11 @@
         leaving: reader.flag("leaving", false),
     };
     if object.layers.is_empty() {
-        reader.note("end_layer", "the range holds no layer", "make it greater than first_layer");
+        reader.add_problem(
+            "end_layer",
+            "the range holds no layer",
+            "make it greater than first_layer",
+        );
     }
     object
 }
@@ -280,7 +288,7 @@
 fn read_service(reader: &mut FieldReader) -> ServiceObject {
     let addresses = reader.addresses("addresses");
     if addresses.is_empty() {
-        reader.note("addresses", "it names no address", "add 'addresses = [\"IP:PORT\"]'");
+        reader.add_problem("addresses", "it names no address", "add 'addresses = [\"IP:PORT\"]'");
     }
     ServiceObject {
         parent: parent(reader),
--- a/crates/sillbank_settings/src/process.rs
+++ b/crates/sillbank_settings/src/process.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, from its TOML file.
+//! Settings of a process, read from its TOML file.
 
 use crate::objects::key_hashes;
 use crate::reader::{FieldReader, Problem, Problems};
@@ -7,28 +7,28 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Shape of log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LogShape {
-    /// For people.
+pub enum LogFormat {
+    /// Human-readable text.
     Text,
-    /// For machines.
+    /// One JSON object per line.
     Json,
 }
 
-/// What every process is told of its logs.
+/// Logging settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Shape of lines.
-    pub shape: LogShape,
-    /// Filter, such as `info` or `sillbank_entry=debug`.
+    /// Format of log lines.
+    pub format: LogFormat,
+    /// Filter directives, such as `info` or `sillbank_entry=debug`.
     pub filter: String,
 }
 
 impl LogSettings {
-    /// Whether lines are JSON.
+    /// Whether log lines are JSON.
     pub fn is_json(&self) -> bool {
-        self.shape == LogShape::Json
+        self.format == LogFormat::Json
     }
 }
 
@@ -39,29 +39,29 @@
     pub vm: VmId,
     /// Data hall of the VM.
     pub hall: HallId,
-    /// Where callers come.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Where health, metrics and readiness are read.
+    /// Listen address for health, readiness and metrics.
     pub admin_listen: SocketAddr,
-    /// Control process of the same VM.
+    /// Address of the control process of the same VM.
     pub control: SocketAddr,
-    /// Longest body of a request.
+    /// Maximum length of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest head of a request.
+    /// Maximum length of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Time a caller has for the head of a request.
+    /// Time limit for receiving the head of a request.
     pub head_timeout: Duration,
-    /// Time a caller has for the body of a request.
+    /// Time limit for receiving the body of a request.
     pub body_timeout: Duration,
-    /// Bytes of an answer kept for a caller that reads slowly.
+    /// Size of the buffer for an answer that its caller reads slowly, in bytes.
     pub stream_buffer_bytes: usize,
-    /// Time a caller may leave the buffer full.
+    /// Time for which the buffer may stay full before the caller counts as stalled.
     pub caller_stall: Duration,
-    /// Time that requests in flight have when the VM is stopped.
+    /// Time limit for requests in flight when the VM is stopped.
     pub stop_limit: Duration,
-    /// How a chain is chosen.
+    /// Name of the policy by which chains are chosen.
     pub chain_policy: String,
-    /// Logs.
+    /// Logging.
     pub log: LogSettings,
 }
 
@@ -72,37 +72,37 @@
     pub vm: VmId,
     /// Data hall of the VM.
     pub hall: HallId,
-    /// Where entry and other control processes come (TCP).
+    /// Listen address for entry and other control processes (TCP).
     pub listen: SocketAddr,
-    /// Where gossip comes (UDP).
+    /// Listen address for gossip (UDP).
     pub gossip_listen: SocketAddr,
-    /// Where operators, health and metrics come (HTTP).
+    /// Listen address for operators, health and metrics (HTTP).
     pub admin_listen: SocketAddr,
-    /// The platform's object API.
+    /// Address of the object API of the platform.
     pub platform: SocketAddr,
-    /// Gossip addresses of some VMs to begin with.
+    /// Gossip addresses of the VMs to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Keys of the fleet; the first signs, all are accepted.
+    /// Keys of the fleet. The first one seals messages; all are accepted.
     pub peer_keys: Vec<String>,
-    /// Hashes of the keys of operators that may write everything.
+    /// Hashes of the keys of operators that may write all objects.
     pub root_key_hashes: Vec<String>,
-    /// Interval of gossip.
+    /// Interval between gossip rounds.
     pub gossip_interval: Duration,
-    /// Term of the lease of a slot of keys.
+    /// Term of the lease on a slot of keys of at-most-once calls.
     pub once_term: Duration,
-    /// How long the key of a call not to be repeated is remembered.
+    /// Retention time of the keys of at-most-once calls.
     pub once_retention: Duration,
-    /// Term of the lease under which a hall's engines are ordered.
+    /// Term of the lease under which orders are given to the engines of a hall.
     pub orders_term: Duration,
-    /// Least time between two orders for a pipeline.
+    /// Minimum time between two orders for a pipeline.
     pub orders_pause: Duration,
-    /// How many VMs of a hall watch the platform.
+    /// Number of VMs per hall that watch the platform.
     pub watchers: usize,
-    /// Logs.
+    /// Logging.
     pub log: LogSettings,
 }
 
-/// Settings of any process, told apart by the field `role`.
+/// Settings of any process, distinguished by the field `role`.
 #[derive(Debug, Clone)]
 pub enum ProcessSettings {
     /// `role = "entry"`
@@ -112,7 +112,7 @@
 }
 
 impl ProcessSettings {
-    /// The settings of an entry, if they are.
+    /// Returns the settings of an entry process, if these are.
     pub fn entry(self) -> Option<EntrySettings> {
         match self {
             Self::Entry(settings) => Some(*settings),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The settings of a control process, if they are.
+    /// Returns the settings of a control process, if these are.
     pub fn control(self) -> Option<ControlSettings> {
         match self {
             Self::Control(settings) => Some(*settings),
@@ -132,7 +132,7 @@
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// Every fault found, with file, path, reason and remedy.
+/// Returns all problems found, with file, path, reason and remedy.
 pub fn read_file(path: &Path) -> Result<ProcessSettings, Problems> {
     let source = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| {
@@ -146,16 +146,16 @@
     read_text(&source, &text)
 }
 
-/// Reads and checks the settings file of a program with a stated role.
+/// Reads and checks the settings file of a program with the given role.
 ///
 /// # Errors
-/// Every fault found, or one that says that the file is another program's.
+/// Returns all problems found, or one that reports a file of another role.
 pub fn read_role<T>(
     path: &Path,
     role: &str,
-    pick: impl FnOnce(ProcessSettings) -> Option<T>,
+    select: impl FnOnce(ProcessSettings) -> Option<T>,
 ) -> Result<T, Problems> {
-    pick(read_file(path)?).ok_or_else(|| {
+    select(read_file(path)?).ok_or_else(|| {
         Problems(vec![Problem {
             source: path.display().to_string(),
             path: "role".to_owned(),
@@ -165,10 +165,10 @@
     })
 }
 
-/// Reads and checks settings that are text already.
+/// Reads and checks settings from TOML text.
 ///
 /// # Errors
-/// Every fault found.
+/// Returns all problems found.
 pub fn read_text(source: &str, text: &str) -> Result<ProcessSettings, Problems> {
     let mut reader = FieldReader::from_toml(source, text)?;
     let settings = match reader.choice("role", &["entry", "control"], "").as_str() {
@@ -179,12 +179,12 @@
     reader.finish().map(|()| settings)
 }
 
-/// Reads the logging table.
-pub fn read_log(reader: &mut FieldReader) -> LogSettings {
+/// Reads the table `log`.
+pub fn read_log_settings(reader: &mut FieldReader) -> LogSettings {
     reader.table("log", |log| LogSettings {
-        shape: match log.choice("shape", &["text", "json"], "text").as_str() {
-            "json" => LogShape::Json,
-            _ => LogShape::Text,
+        format: match log.choice("shape", &["text", "json"], "text").as_str() {
+            "json" => LogFormat::Json,
+            _ => LogFormat::Text,
         },
         filter: log.text_or_none("filter").unwrap_or_else(|| "info".to_owned()),
     })
@@ -206,11 +206,11 @@
         caller_stall: reader.millis("caller_stall_ms", 10_000, 10..=600_000),
         stop_limit: reader.millis("stop_limit_ms", 30_000, 0..=3_600_000),
         chain_policy: reader.choice("chain_policy", &CHAIN_POLICIES, CHAIN_POLICIES[0]),
-        log: read_log(reader),
+        log: read_log_settings(reader),
     }
 }
 
-/// Names of the ways to choose a chain; the first is the usual one.
+/// Names of the chain policies; the first one is the default.
 pub const CHAIN_POLICIES: [&str; 4] = ["least_finish", "least_in_flight", "round_robin", "random"];
 
 fn read_control(reader: &mut FieldReader) -> ControlSettings {
@@ -230,17 +230,17 @@
         orders_term: reader.millis("orders_term_ms", 15_000, 500..=3_600_000),
         orders_pause: reader.millis("orders_pause_ms", 5_000, 0..=3_600_000),
         watchers: reader.number("watchers", 2, 1..=16) as usize,
-        log: read_log(reader),
+        log: read_log_settings(reader),
     };
     if settings.peer_keys.is_empty() {
-        reader.note(
+        reader.add_problem(
             "peer_keys",
             "it names no key",
             "add 'peer_keys = [\"...\"]', the same on all VMs",
         );
     }
     if settings.peer_keys.iter().any(|key| key.len() < 16) {
-        reader.note("peer_keys", "a key is too short", "use 16 characters or more");
+        reader.add_problem("peer_keys", "a key is too short", "use 16 characters or more");
     }
     settings
 }
--- a/crates/sillbank_settings/src/reader.rs
+++ b/crates/sillbank_settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads fields out of a table, checks each, and collects every fault.
+//! Reader that takes fields out of a table, checks them and collects all problems.
 
 use serde_json::{Map, Value};
 use std::fmt;
@@ -6,12 +6,12 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// One fault in settings.
+/// A problem in settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
     /// File or object key.
     pub source: String,
-    /// Path of the field inside it.
+    /// Path of the field within the source.
     pub path: String,
     /// What is wrong.
     pub reason: String,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Every fault found in one source.
+/// All problems found in a source.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Problems(pub Vec<Problem>);
 
@@ -38,8 +38,8 @@
 
 impl std::error::Error for Problems {}
 
-/// Reads one table. Getters note a problem and answer a harmless value when a field is wrong;
-/// [`FieldReader::finish`] tells whether any was, and refuses fields nobody asked for.
+/// Reader of one table. Getters record a problem and return a placeholder value when a field is invalid.
+/// [`FieldReader::finish`] returns the recorded problems and refuses fields that were not read.
 #[derive(Debug)]
 pub struct FieldReader {
     source: String,
@@ -49,7 +49,7 @@
 }
 
 impl FieldReader {
-    /// Reads a JSON value that must be a table.
+    /// Creates a reader of a JSON value, which must be a table.
     pub fn new(source: &str, value: Value) -> Self {
         let mut reader = Self {
             source: source.to_owned(),
@@ -59,15 +59,15 @@
         };
         match value {
             Value::Object(fields) => reader.fields = fields,
-            _ => reader.note("", "it is not a table", "write fields as 'name = value'"),
+            _ => reader.add_problem("", "it is not a table", "write fields as 'name = value'"),
         }
         reader
     }
 
-    /// Reads TOML text.
+    /// Creates a reader of TOML text.
     ///
     /// # Errors
-    /// One [`Problem`] with the place of the fault if the text is not TOML.
+    /// Returns one [`Problem`] with the line of the error if the text is not valid TOML.
     pub fn from_toml(source: &str, text: &str) -> Result<Self, Problems> {
         toml::from_str::<Value>(text).map(|value| Self::new(source, value)).map_err(|e| {
             let line = e.span().map_or(0, |s| text[..s.start].matches('\n').count() + 1);
@@ -80,8 +80,13 @@
         })
     }
 
-    /// Notes a fault of a field.
-    pub fn note(&mut self, name: &str, reason: impl Into<String>, remedy: impl Into<String>) {
+    /// Records a problem of a field.
+    pub fn add_problem(
+        &mut self,
+        name: &str,
+        reason: impl Into<String>,
+        remedy: impl Into<String>,
+    ) {
         let path = match (self.prefix.is_empty(), name.is_empty()) {
             (true, true) => "(top)".to_owned(),
             (true, false) => name.to_owned(),
@@ -96,49 +101,49 @@
         });
     }
 
-    /// Takes a field out, if it is there.
+    /// Removes and returns a field, if it is present.
     pub fn take(&mut self, name: &str) -> Option<Value> {
         self.fields.remove(name)
     }
 
-    /// Whether a field is there.
+    /// Whether a field is present and has not been read.
     pub fn has(&self, name: &str) -> bool {
         self.fields.contains_key(name)
     }
 
-    /// A text that must be there.
+    /// Reads a required string, which must not be empty.
     pub fn text(&mut self, name: &str) -> String {
         match self.text_or_none(name) {
             Some(text) if !text.is_empty() => text,
             Some(_) => {
-                self.note(name, "it is empty", "give it a value");
+                self.add_problem(name, "it is empty", "give it a value");
                 String::new()
             }
             None => {
                 if !self.problems.iter().any(|p| p.path.ends_with(name)) {
-                    self.note(name, "it is missing", format!("add '{name} = \"...\"'"));
+                    self.add_problem(name, "it is missing", format!("add '{name} = \"...\"'"));
                 }
                 String::new()
             }
         }
     }
 
-    /// A text that may be left out.
+    /// Reads an optional string.
     pub fn text_or_none(&mut self, name: &str) -> Option<String> {
         match self.take(name)? {
             Value::String(text) => Some(text),
             other => {
-                self.note(name, format!("{other} is not a text"), "put it in quotes");
+                self.add_problem(name, format!("{other} is not a text"), "put it in quotes");
                 None
             }
         }
     }
 
-    /// A name: letters, digits, '-', '_' and '.'.
+    /// Reads a required name, which consists of letters, digits, '-', '_' and '.'.
     pub fn name(&mut self, name: &str) -> String {
         let text = self.text(name);
         if !text.is_empty() && !is_name(&text) {
-            self.note(
+            self.add_problem(
                 name,
                 format!("'{text}' is not a name"),
                 "use letters, digits, '-', '_', '.'",
@@ -147,29 +152,29 @@
         text
     }
 
-    /// One of a few texts.
+    /// Reads one of several known strings, or the default.
     pub fn choice(&mut self, name: &str, known: &[&str], default: &str) -> String {
         let text = self.text_or_none(name).unwrap_or_else(|| default.to_owned());
         if !known.contains(&text.as_str()) {
             let all = known.join(", ");
-            self.note(name, format!("'{text}' is not known"), format!("use one of: {all}"));
+            self.add_problem(name, format!("'{text}' is not known"), format!("use one of: {all}"));
         }
         text
     }
 
-    /// An IP address with a port.
+    /// Reads a required IP address with a port.
     pub fn address(&mut self, name: &str) -> SocketAddr {
         let text = self.text(name);
         self.parse_address(name, &text)
     }
 
-    /// A list of IP addresses with ports; empty if left out.
+    /// Reads a list of IP addresses with ports, empty by default.
     pub fn addresses(&mut self, name: &str) -> Vec<SocketAddr> {
         let texts = self.texts(name);
         texts.iter().map(|text| self.parse_address(name, text)).collect()
     }
 
-    /// A list of texts; empty if left out.
+    /// Reads a list of strings, empty by default.
     pub fn texts(&mut self, name: &str) -> Vec<String> {
         match self.take(name) {
             None => Vec::new(),
@@ -177,18 +182,18 @@
                 items.iter().filter_map(Value::as_str).map(str::to_owned).collect()
             }
             Some(_) => {
-                self.note(name, "it is not a list of texts", "write it as [\"a\", \"b\"]");
+                self.add_problem(name, "it is not a list of texts", "write it as [\"a\", \"b\"]");
                 Vec::new()
             }
         }
     }
 
-    /// A whole number in a range, or its default.
+    /// Reads an integer within a range, or the default.
     pub fn number(&mut self, name: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
         self.number_or_none(name, range).unwrap_or(default)
     }
 
-    /// A whole number in a range, if it is there.
+    /// Reads an optional integer within a range.
     pub fn number_or_none(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
         let value = self.take(name)?;
         match value.as_u64() {
@@ -196,31 +201,31 @@
             _ => {
                 let (low, high) = range.into_inner();
                 let remedy = format!("use a whole number from {low} to {high}");
-                self.note(name, format!("{value} is out of range"), remedy);
+                self.add_problem(name, format!("{value} is out of range"), remedy);
                 None
             }
         }
     }
 
-    /// A fraction in a range, or its default.
+    /// Reads a number within a range, or the default.
     pub fn fraction(&mut self, name: &str, default: f64, range: RangeInclusive<f64>) -> f64 {
         self.fraction_or_none(name, range).unwrap_or(default)
     }
 
-    /// A fraction in a range, if it is there.
+    /// Reads an optional number within a range.
     pub fn fraction_or_none(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
         let value = self.take(name)?;
         match value.as_f64() {
             Some(number) if range.contains(&number) => Some(number),
             _ => {
                 let remedy = format!("use a number from {} to {}", range.start(), range.end());
-                self.note(name, format!("{value} is out of range"), remedy);
+                self.add_problem(name, format!("{value} is out of range"), remedy);
                 None
             }
         }
     }
 
-    /// A time in milliseconds, or its default.
+    /// Reads a duration in milliseconds, or the default.
     pub fn millis(
         &mut self,
         name: &str,
@@ -230,19 +235,23 @@
         Duration::from_millis(self.number(name, default_ms, range_ms))
     }
 
-    /// Yes or no, or its default.
+    /// Reads a boolean, or the default.
     pub fn flag(&mut self, name: &str, default: bool) -> bool {
         match self.take(name) {
             None => default,
             Some(Value::Bool(flag)) => flag,
             Some(other) => {
-                self.note(name, format!("{other} is not true or false"), "use true or false");
+                self.add_problem(
+                    name,
+                    format!("{other} is not true or false"),
+                    "use true or false",
+                );
                 default
             }
         }
     }
 
-    /// Reads a table inside this one; an empty one if left out.
+    /// Reads a nested table, which is empty by default.
     pub fn table<T>(&mut self, name: &str, read: impl FnOnce(&mut FieldReader) -> T) -> T {
         let value = self.take(name).unwrap_or_else(|| Value::Object(Map::new()));
         let mut inner = FieldReader::new(&self.source, value);
@@ -256,10 +265,10 @@
         read
     }
 
-    /// Ends reading.
+    /// Finishes reading.
     ///
     /// # Errors
-    /// Every problem noted, and one for each field that nobody asked for.
+    /// Returns all recorded problems, and one for each field that was not read.
     pub fn finish(mut self) -> Result<(), Problems> {
         self.refuse_unknown();
         match self.problems.is_empty() {
@@ -271,7 +280,7 @@
     fn refuse_unknown(&mut self) {
         let unknown: Vec<String> = self.fields.keys().cloned().collect();
         for name in unknown {
-            self.note(&name, "it is not a known field", "correct its name or remove it");
+            self.add_problem(&name, "it is not a known field", "correct its name or remove it");
         }
     }
 
@@ -279,7 +288,7 @@
         text.parse().unwrap_or_else(|_| {
             if !text.is_empty() {
                 let reason = format!("'{text}' is not an IP address with a port");
-                self.note(name, reason, "write it as '127.0.0.1:8080'");
+                self.add_problem(name, reason, "write it as '127.0.0.1:8080'");
             }
             SocketAddr::from(([127, 0, 0, 1], 0))
         })
--- a/crates/sillbank_settings/src/tree.rs
+++ b/crates/sillbank_settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree of settings as one process holds it.
+//! Settings tree, as held by one process.
 
 use crate::objects::{
     EndpointObject, NodeObject, OperatorObject, OrganisationObject, PipelineObject, ServiceObject,
@@ -9,27 +9,27 @@
 use sillbank_core::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// A policy with the node each value came from.
+/// Effective policy of an object, with the origin of each value.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Effective {
-    /// The values in force.
+pub struct EffectivePolicy {
+    /// Effective values.
     pub policy: Policy,
-    /// For each setting, the key of the object that gave it, or `built in`.
+    /// For each setting, the key of the object that defines it, or `built in`.
     pub origin: BTreeMap<&'static str, String>,
 }
 
-/// What taking an object did.
+/// Outcome of [`Tree::apply`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
-    /// It is in force.
+pub enum ApplyOutcome {
+    /// The object is in force.
     InForce,
-    /// It is no newer than what is here; nothing changed.
-    Old,
-    /// It is not valid; the last good one stays in force.
+    /// The object is not newer than the held version; nothing changed.
+    Stale,
+    /// The object is invalid; the last valid version stays in force.
     Invalid(Problems),
 }
 
-/// All objects of the tree that this process knows, with their versions.
+/// All objects of the tree known to this process, with their versions.
 #[derive(Debug, Default)]
 pub struct Tree {
     versions: HashMap<String, u64>,
@@ -44,83 +44,83 @@
 }
 
 impl Tree {
-    /// Takes an object unless a newer one is here. A deletion is kept as a version.
-    pub fn take(&mut self, key: &str, version: u64, deleted: bool, value: &str) -> Taken {
+    /// Applies a version of an object, unless the held one is as new. A deletion is kept as a version.
+    pub fn apply(&mut self, key: &str, version: u64, deleted: bool, value: &str) -> ApplyOutcome {
         if self.versions.get(key).is_some_and(|held| *held >= version) {
-            return Taken::Old;
+            return ApplyOutcome::Stale;
         }
         if deleted {
             self.versions.insert(key.to_owned(), version);
             self.invalid.remove(key);
             self.remove(key);
-            return Taken::InForce;
+            return ApplyOutcome::InForce;
         }
         match read_object(key, value) {
             Ok(object) => {
                 self.versions.insert(key.to_owned(), version);
                 self.invalid.remove(key);
                 self.insert(key, object);
-                Taken::InForce
+                ApplyOutcome::InForce
             }
             Err(problems) => {
                 self.versions.insert(key.to_owned(), version);
                 self.invalid.insert(key.to_owned(), problems.clone());
-                Taken::Invalid(problems)
+                ApplyOutcome::Invalid(problems)
             }
         }
     }
 
-    /// Number of objects held, deletions included.
+    /// Returns the number of objects held, including deleted ones.
     pub fn len(&self) -> usize {
         self.versions.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no object is held.
     pub fn is_empty(&self) -> bool {
         self.versions.is_empty()
     }
 
-    /// Version held of an object.
+    /// Returns the held version of an object.
     pub fn version(&self, key: &str) -> Option<u64> {
         self.versions.get(key).copied()
     }
 
-    /// Stored objects that are not valid, with what is wrong.
+    /// Returns the objects whose newest version is invalid, with their problems.
     pub fn invalid(&self) -> &BTreeMap<String, Problems> {
         &self.invalid
     }
 
-    /// A pipeline.
+    /// Returns a pipeline by name.
     pub fn pipeline(&self, name: &str) -> Option<&PipelineObject> {
         self.pipelines.get(name)
     }
 
-    /// A service.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&ServiceObject> {
         self.services.get(name)
     }
 
-    /// An organisation.
+    /// Returns an organisation by name.
     pub fn organisation(&self, name: &str) -> Option<&OrganisationObject> {
         self.organisations.get(name)
     }
 
-    /// The organisation whose key has this hash.
+    /// Returns the organisation that has a key with this hash.
     pub fn organisation_of_key(&self, key_hash: &str) -> Option<&str> {
         self.by_key_hash.get(key_hash).map(String::as_str)
     }
 
-    /// An endpoint.
+    /// Returns an endpoint by name.
     pub fn endpoint(&self, name: &str) -> Option<&EndpointObject> {
         self.endpoints.get(name)
     }
 
-    /// All endpoints.
+    /// Iterates over all endpoints by name.
     pub fn endpoints(&self) -> impl Iterator<Item = (&EndpointId, &EndpointObject)> {
         self.endpoints.iter()
     }
 
-    /// The operator whose key has this hash, and the node under which it may write.
+    /// Returns the operator that has a key with this hash, and the node below which it may write.
     pub fn operator_of_key(&self, key_hash: &str) -> Option<(&str, &str)> {
         let holds = |object: &&OperatorObject| object.key_hashes.iter().any(|h| h == key_hash);
         let mut all = self.operators.iter();
@@ -128,8 +128,8 @@
         Some((name, &object.subtree))
     }
 
-    /// Path of the node under which a stored object stands.
-    pub fn place_of(&self, key: &str) -> Option<String> {
+    /// Returns the path of a node object, or of the parent of another object, if it is held.
+    pub fn node_path_of(&self, key: &str) -> Option<String> {
         let (kind, name) = key.split_once('/')?;
         match kind {
             "pipeline" => self.pipelines.get(name).map(|o| o.parent.clone()),
@@ -141,10 +141,10 @@
         }
     }
 
-    /// Checks what an object names against what is here.
+    /// Checks the references of an object to other objects.
     ///
     /// # Errors
-    /// A problem for each name that leads nowhere.
+    /// Returns the first problem found.
     pub fn check_references(&self, key: &str, object: &TreeObject) -> Result<(), Problems> {
         let problem = |path: &str, reason: String, remedy: &str| {
             Problems(vec![Problem {
@@ -168,38 +168,37 @@
         Ok(())
     }
 
-    /// Whether an organisation may call something placed under a node: both are under the same
-    /// top node.
+    /// Whether an organisation may call an object with this parent node: both must be below the same top-level node.
     pub fn may_call(&self, organisation: &str, target_parent: &str) -> bool {
         let top = |path: &str| path.split('/').nth(1).unwrap_or_default().to_owned();
         self.organisation(organisation).is_some_and(|o| top(&o.parent) == top(target_parent))
     }
 
-    /// The policy in force for an object, and where each value came from.
-    pub fn effective(&self, key: &str) -> Effective {
-        let mut effective = Effective { policy: Policy::default(), origin: BTreeMap::new() };
+    /// Returns the effective policy of an object, with the origin of each value.
+    pub fn effective(&self, key: &str) -> EffectivePolicy {
+        let mut effective = EffectivePolicy { policy: Policy::default(), origin: BTreeMap::new() };
         for name in Policy::NAMES {
             effective.origin.insert(name, "built in".to_owned());
         }
-        let mut lay = |key: &str, patch: &PolicyPatch| {
+        let mut override_with = |key: &str, patch: &PolicyPatch| {
             let origin = &mut effective.origin;
             effective.policy.override_with(patch, |name| {
                 origin.insert(name, key.to_owned());
             });
         };
-        let path = self.place_of(key).unwrap_or_else(|| "/".to_owned());
+        let path = self.node_path_of(key).unwrap_or_else(|| "/".to_owned());
         for ancestor in ancestors(&path) {
             if let Some(node) = self.nodes.get(&ancestor) {
-                lay(&format!("node{ancestor}"), &node.settings);
+                override_with(&format!("node{ancestor}"), &node.settings);
             }
         }
         if let Some(patch) = self.own_settings(key) {
-            lay(key, patch);
+            override_with(key, patch);
         }
         effective
     }
 
-    /// The settings an object itself gives.
+    /// Returns the settings that an object itself overrides.
     fn own_settings(&self, key: &str) -> Option<&PolicyPatch> {
         let (kind, name) = key.split_once('/')?;
         match kind {
@@ -253,13 +252,13 @@
     }
 }
 
-/// The paths from the root down to a path, both included.
+/// Returns the paths from the root down to a path, including both.
 fn ancestors(path: &str) -> Vec<String> {
     let mut all = vec!["/".to_owned()];
-    let mut at = String::new();
+    let mut current = String::new();
     for part in path.split('/').filter(|part| !part.is_empty()) {
-        at = format!("{at}/{part}");
-        all.push(at.clone());
+        current = format!("{current}/{part}");
+        all.push(current.clone());
     }
     all
 }
--- a/crates/sillbank_settings/tests/settings.rs
+++ b/crates/sillbank_settings/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Settings are checked whole, and the tree gives each value with where it came from.
+//! Reading of settings with all their problems, and the effective policies of the settings tree.
 #![allow(clippy::unwrap_used)]
 
 use sillbank_settings::objects::{hash_key, read_objects_file};
 use sillbank_settings::prelude::*;
 use sillbank_settings::process::{ProcessSettings, read_text};
-use sillbank_settings::tree::Taken;
+use sillbank_settings::tree::ApplyOutcome;
 use sillbank_testing::for_fixed_seeds;
 
 const ENTRY: &str = r#"
@@ -19,13 +19,14 @@
 fn tree(objects: &[(&str, u64, &str)]) -> Tree {
     let mut tree = Tree::default();
     for (key, version, value) in objects {
-        assert_eq!(tree.take(key, *version, false, value), Taken::InForce, "{key}");
+        assert_eq!(tree.apply(key, *version, false, value), ApplyOutcome::InForce, "{key}");
     }
     tree
 }
 
+/// A valid file is read, and fields that are left out have their defaults.
 #[test]
-fn a_good_file_is_read() {
+fn valid_file_is_read() {
     let ProcessSettings::Entry(settings) = read_text("e.toml", ENTRY).unwrap() else {
         panic!("not an entry");
     };
@@ -34,8 +35,9 @@
     assert_eq!(settings.max_body_bytes, 1 << 20);
 }
 
+/// All problems of a file are reported at once, each with its path and a remedy.
 #[test]
-fn every_fault_of_a_file_is_named_at_once_with_path_and_remedy() {
+fn all_problems_of_a_file_are_reported_together() {
     let text = ENTRY
         .replace("vm1", "vm 1")
         .replace("127.0.0.1:1001", "localhost")
@@ -53,8 +55,9 @@
     assert!(problems.iter().all(|p| p.source == "e.toml" && !p.remedy.is_empty()));
 }
 
+/// The files in `examples/` are valid.
 #[test]
-fn the_commented_examples_are_valid() {
+fn example_files_are_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
     let read = |name: &str| std::fs::read_to_string(format!("{folder}/{name}")).unwrap();
 
@@ -63,15 +66,17 @@
     assert_eq!(read_objects_file("tree.toml", &read("tree.toml")).unwrap().len(), 7);
 }
 
+/// Text that is not valid TOML is refused with the line of the error.
 #[test]
-fn text_that_is_not_toml_is_refused_with_its_line() {
+fn invalid_toml_is_refused_with_its_line() {
     let problems = read_text("e.toml", "role = \"entry\"\nvm = =\n").unwrap_err().0;
 
     assert_eq!(problems[0].path, "line 2");
 }
 
+/// A child inherits the settings that it does not override, and the origin of each value is reported.
 #[test]
-fn a_child_inherits_unless_it_says_otherwise() {
+fn child_inherits_settings_that_it_does_not_override() {
     let tree = tree(&[
         ("node/", 1, r#"{"settings":{"deadline_ms":1000,"priority":1}}"#),
         ("node/market", 2, r#"{"settings":{"priority":2}}"#),
@@ -93,31 +98,33 @@
     assert_eq!(effective.origin["weight"], "built in");
 }
 
+/// An invalid version leaves the last valid one in force and is reported until a valid one is applied.
 #[test]
-fn an_invalid_object_leaves_the_last_good_one_in_force_and_shows() {
+fn invalid_object_leaves_the_last_valid_one_in_force() {
     let mut tree = tree(&[("pipeline/p", 1, r#"{"parent":"/m","layers":8}"#)]);
 
-    let taken = tree.take("pipeline/p", 2, false, r#"{"parent":"/m","layers":0}"#);
+    let outcome = tree.apply("pipeline/p", 2, false, r#"{"parent":"/m","layers":0}"#);
 
-    assert!(matches!(taken, Taken::Invalid(_)));
+    assert!(matches!(outcome, ApplyOutcome::Invalid(_)));
     assert_eq!(tree.pipeline("p").unwrap().layers, 8);
     assert!(tree.invalid().contains_key("pipeline/p"));
-    tree.take("pipeline/p", 3, false, r#"{"parent":"/m","layers":9}"#);
+    tree.apply("pipeline/p", 3, false, r#"{"parent":"/m","layers":9}"#);
     assert!(tree.invalid().is_empty());
 }
 
+/// The newest version is in force, in whatever order versions and deletions are applied.
 #[test]
-fn an_older_version_never_replaces_a_newer_one_in_any_order() {
+fn older_version_never_replaces_a_newer_one() {
     for_fixed_seeds(200, 400, |u| {
         let mut tree = Tree::default();
         let mut newest: Option<(u64, bool)> = None;
         for _ in 0..u.int_in_range(1..=30)? {
             let version = u.int_in_range(1..=20)?;
-            // A version names one state: whether it is a deletion follows from it.
+            // A version has only one state, so whether it is a deletion depends on the version alone.
             let deleted = version % 3 == 0;
             let value = format!(r#"{{"parent":"/m","layers":{version}}}"#);
 
-            tree.take("pipeline/p", version, deleted, if deleted { "" } else { &value });
+            tree.apply("pipeline/p", version, deleted, if deleted { "" } else { &value });
 
             newest = newest.max(Some((version, deleted)));
             let layers = tree.pipeline("p").map(|p| u64::from(p.layers));
@@ -128,20 +135,22 @@
     });
 }
 
+/// After an organisation is deleted and created again, only its new key is accepted.
 #[test]
-fn a_deleted_and_remade_organisation_answers_to_its_new_key_only() {
+fn recreated_organisation_has_only_its_new_key() {
     let object = |key: &str| format!(r#"{{"parent":"/m","key_hashes":["{}"]}}"#, hash_key(key));
     let mut tree = Tree::default();
-    tree.take("organisation/o", 1, false, &object("old"));
-    tree.take("organisation/o", 2, true, "");
-    tree.take("organisation/o", 3, false, &object("new"));
+    tree.apply("organisation/o", 1, false, &object("old"));
+    tree.apply("organisation/o", 2, true, "");
+    tree.apply("organisation/o", 3, false, &object("new"));
 
     assert_eq!(tree.organisation_of_key(&hash_key("old")), None);
     assert_eq!(tree.organisation_of_key(&hash_key("new")), Some("o"));
 }
 
+/// An organisation may call only objects below its own top-level node.
 #[test]
-fn an_organisation_may_call_only_under_its_own_top_node() {
+fn organisation_may_call_only_below_its_top_level_node() {
     let tree = tree(&[("organisation/o", 1, r#"{"parent":"/market/retail","key_hashes":[]}"#)]);
 
     assert!(tree.may_call("o", "/market/budapest"));
@@ -150,8 +159,9 @@
     assert!(!tree.may_call("unknown", "/market"));
 }
 
+/// The objects of a file are returned in an order in which they can be written.
 #[test]
-fn objects_of_a_file_come_in_the_order_in_which_they_can_be_written() {
+fn objects_of_a_file_are_sorted_by_dependency() {
     let text = r#"
 [endpoint.e]
 parent = "/m"
@@ -173,8 +183,9 @@
     assert_eq!(keys, ["node/m", "pipeline/p", "endpoint/e"]);
 }
 
+/// An endpoint that refers to an unknown pipeline is refused.
 #[test]
-fn an_endpoint_that_names_no_known_pipeline_is_refused() {
+fn endpoint_of_unknown_pipeline_is_refused() {
     let tree = Tree::default();
     let text = r#"{"parent":"/m","hall":"h","kind":"k","pipeline":"p","end_layer":4,"address":"127.0.0.1:1"}"#;
     let object = sillbank_settings::objects::read_object("endpoint/e", text).unwrap();
@@ -184,8 +195,9 @@
     assert_eq!(problems.0[0].path, "pipeline");
 }
 
+/// Readers of objects and files never panic on arbitrary text.
 #[test]
-fn reading_an_object_never_panics() {
+fn reading_arbitrary_text_never_panics() {
     for_fixed_seeds(300, 300, |u| {
         let kinds = ["node/x", "pipeline/x", "organisation/x", "endpoint/x", "service/x", "y"];
         let key = u.choose(&kinds)?;
