--- a/crates/sillbank_entry/src/drive.rs
+++ b/crates/sillbank_entry/src/drive.rs
@@ -213,14 +213,14 @@
     fn usable_endpoint(&self, stage: StageIndex) -> Option<EndpointSlot> {
         let old = self.stages[stage];
         let others = [Some(old.endpoint), None];
-        others.into_iter().find_map(|except| {
+        others.into_iter().find_map(|excluded| {
             let request = ChainRequest {
                 pipeline: &self.pipeline,
                 layers: old.layers,
                 kv_tokens: self.kv_tokens,
                 prefill_tokens: self.generation.sequence_len(),
                 tokens: self.generation.tokens_left(),
-                excluded: except,
+                excluded,
             };
             let chain = self.entry.take_chain(&request)?;
             match chain[..] {
--- a/crates/sillbank_settings/src/tree.rs
+++ b/crates/sillbank_settings/src/tree.rs
@@ -255,10 +255,10 @@
 /// Returns the paths from the root down to a path, including both.
 fn ancestors(path: &str) -> Vec<String> {
     let mut all = vec!["/".to_owned()];
-    let mut current = String::new();
+    let mut at = String::new();
     for part in path.split('/').filter(|part| !part.is_empty()) {
-        current = format!("{current}/{part}");
-        all.push(current.clone());
+        at = format!("{at}/{part}");
+        all.push(at.clone());
     }
     all
 }
