--- a/crates/sillbank_net/src/body.rs
+++ b/crates/sillbank_net/src/body.rs
@@ -17,7 +17,7 @@
 
 /// The body was aborted before its end. The connection is closed, so that the reader notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the answer was broken off; ask again from its last whole piece")]
+#[error("the body was aborted; request the rest after its last complete chunk")]
 pub struct BodyAborted;
 
 #[derive(Debug, Default)]
