--- a/crates/sillbank_net/src/body.rs
+++ b/crates/sillbank_net/src/body.rs
@@ -167,7 +167,7 @@
 #[derive(Debug)]
 pub enum ReplyBody {
     /// Complete body.
-    Whole(Full<Bytes>),
+    Full(Full<Bytes>),
     /// Streamed body.
     Stream(OutboxBody),
 }
