--- a/crates/sillbank_entry/src/drive.rs
+++ b/crates/sillbank_entry/src/drive.rs
@@ -111,8 +111,8 @@
     }
 
     /// Which try at the request this is.
-    fn id(&self) -> DriveId {
-        drive_id(self.uid, self.generation.attempt())
+    fn id(&self) -> ExecutionId {
+        execution_id(self.uid, self.generation.attempt())
     }
 
     fn take(&mut self, event: Event) {
@@ -213,14 +213,14 @@
     fn usable_endpoint(&self, stage: StageIndex) -> Option<EndpointSlot> {
         let old = self.stages[stage];
         let others = [Some(old.endpoint), None];
-        others.into_iter().find_map(|except| {
+        others.into_iter().find_map(|excluded| {
             let request = ChainRequest {
                 pipeline: &self.pipeline,
                 layers: old.layers,
                 kv_tokens: self.kv_tokens,
                 prefill_tokens: self.generation.sequence_len(),
                 tokens: self.generation.tokens_left(),
-                except,
+                excluded,
             };
             let chain = self.entry.take_chain(&request)?;
             match chain[..] {
@@ -290,7 +290,7 @@
     }
 
     fn report(&self) {
-        let tally = self.generation.tally();
+        let tally = self.generation.stats();
         let metrics = &self.entry.metrics;
         metrics.replayed_tokens.inc_by(u64::from(tally.replayed_tokens));
         metrics.stages_lost.inc_by(u64::from(tally.losses));
--- a/crates/sillbank_entry/src/state.rs
+++ b/crates/sillbank_entry/src/state.rs
@@ -5,7 +5,7 @@
 use crate::metrics::Metrics;
 use crate::stop::StopState;
 use sillbank_admission::AdmissionControl;
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_net::prelude::*;
 use sillbank_protocol::platform::Version;
 use sillbank_routing::prelude::*;
@@ -49,7 +49,7 @@
             table: RefCell::new(EndpointTable::new(HealthLimits::default())),
             links: RefCell::default(),
             policy: RefCell::new(policy),
-            rng: RefCell::new(fastrand::Rng::with_seed(Chance::from_entropy().number())),
+            rng: RefCell::new(fastrand::Rng::with_seed(SharedRng::from_entropy().next_u64())),
             metrics: Metrics::new(),
             stop: StopState::default(),
             claims: ControlClaims::default(),
@@ -68,7 +68,7 @@
         let mut rng = self.rng.borrow_mut();
         let mut table = self.table.borrow_mut();
         let chain = choose_chain(&table, request, &mut *policy, Instant::now(), &mut rng)?;
-        policy.took(&chain);
+        policy.record_choice(&chain);
         for link in &chain {
             let endpoint = table.get_mut(link.endpoint);
             endpoint.requests += 1;
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -103,7 +103,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Bytes buffered for callers and endpoints.
-    pub kept: KeptBytes,
+    pub kept: MemoryBudget,
     /// How near this VM is to its own limits.
     pub limits: RefCell<LimitMeter>,
     /// Runs tasks.
@@ -113,7 +113,7 @@
     /// Random number that distinguishes this process from earlier ones on the same VM.
     pub incarnation: Incarnation,
     /// Source of randomness for all decisions.
-    pub chance: Chance,
+    pub chance: SharedRng,
     /// Number of requests in progress.
     pub in_progress: Cell<u64>,
     store_reached: Cell<bool>,
@@ -131,13 +131,13 @@
         store: S,
         engine_calls: HttpClient,
         executor: Rc<LocalExecutor<'static>>,
-        chance: Chance,
+        chance: SharedRng,
     ) -> Self {
         let metrics = Metrics::default();
-        let (incarnation, began) = (chance.number(), Instant::now());
+        let (incarnation, began) = (chance.next_u64(), Instant::now());
         Self {
             platform: PlatformView::new(settings.key_revocation),
-            kept: KeptBytes::new(settings.buffer_limit_bytes()),
+            kept: MemoryBudget::new(settings.buffer_limit_bytes()),
             settings: RefCell::new(Rc::new(settings)),
             store: CountedStore::new(store, metrics.store_calls.clone()),
             unreadable: UnreadableEntries::default(),
--- a/crates/sillbank_gateway/src/platform_view.rs
+++ b/crates/sillbank_gateway/src/platform_view.rs
@@ -5,7 +5,7 @@
 use crate::store::Snapshot;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
-use sillbank_core::suspension::SuspensionWatch;
+use sillbank_core::suspension::SuspensionDetector;
 use sillbank_fleet::prelude::*;
 use sillbank_net::clocks::read_clocks;
 use std::cell::{Cell, RefCell};
@@ -55,7 +55,7 @@
     /// How often the store was found to be back or restored.
     store_recoveries: Cell<u64>,
     store_wakers: RefCell<Vec<Waker>>,
-    suspension: RefCell<SuspensionWatch>,
+    suspension: RefCell<SuspensionDetector>,
     /// When a suspension of the machine was last detected.
     resumed_at: Cell<Option<Instant>>,
 }
@@ -79,7 +79,7 @@
             confirmation_wakers: RefCell::default(),
             store_recoveries: Cell::new(0),
             store_wakers: RefCell::default(),
-            suspension: RefCell::new(SuspensionWatch::new(read_clocks())),
+            suspension: RefCell::new(SuspensionDetector::new(read_clocks())),
             resumed_at: Cell::new(None),
         }
     }
--- a/crates/sillbank_gateway/src/sending.rs
+++ b/crates/sillbank_gateway/src/sending.rs
@@ -83,14 +83,14 @@
 ) -> SendOutcome {
     let sent_at = Instant::now();
     let request = job.request_for::<W>(to.endpoint, to.path, resume_after, sent_at);
-    job.update_run(RunLog::sent);
+    job.update_run(RunLog::record_sent);
     let reply = match connection.inner.sender.try_send_request(request).await {
         Ok(reply) => reply,
         Err(mut error) => {
             let reason = error.error().to_string();
             return match error.take_message() {
                 Some(_) => {
-                    job.update_run(RunLog::refused);
+                    job.update_run(RunLog::record_refused);
                     SendOutcome::NotSent(reason)
                 }
                 None => SendOutcome::Lost(reason),
@@ -108,18 +108,18 @@
     }
     match parsed {
         EndpointReply::Success => {
-            job.update_run(RunLog::ran);
+            job.update_run(RunLog::record_ran);
             SendOutcome::Success(reply, connection)
         }
         EndpointReply::Failure if guarantees_not_run(reply.status().as_u16()) => SendOutcome::Lost(
             format!("status {} without a proof that it was not run", reply.status().as_u16()),
         ),
         EndpointReply::Failure => {
-            job.update_run(RunLog::ran);
+            job.update_run(RunLog::record_ran);
             SendOutcome::Failure(reply, connection)
         }
         EndpointReply::NotRun(refusal) => {
-            job.update_run(RunLog::refused);
+            job.update_run(RunLog::record_refused);
             let endpoint = to.endpoint.to_owned();
             drain_refusal(gateway, endpoint, reply, connection).await;
             SendOutcome::NotRun(refusal)
@@ -167,7 +167,7 @@
     /// The head as received; it says whether the connection stays open.
     pub head: HeaderMap,
     /// Memory budget taken by the body until it is sent to the caller.
-    pub memory: KeptShare,
+    pub memory: MemoryReservation,
 }
 
 /// Reads a complete reply of up to `limit_bytes`.
@@ -177,10 +177,10 @@
 pub async fn buffer_reply(
     reply: Response<Incoming>,
     limit_bytes: usize,
-    kept: &KeptBytes,
+    kept: &MemoryBudget,
 ) -> Result<BufferedReply, String> {
     let out_of_memory = || "the VM keeps no more for its callers".to_owned();
-    let mut memory = kept.try_keep(0).ok_or_else(out_of_memory)?;
+    let mut memory = kept.try_reserve(0).ok_or_else(out_of_memory)?;
     let (head, body) = reply.into_parts();
     let headers = head.headers.clone();
     let mut body = Limited::new(body, limit_bytes);
@@ -193,7 +193,7 @@
         }
         buffer.extend_from_slice(&data);
     }
-    let reply = Response::from_parts(head, ReplyBody::Whole(Full::new(buffer.freeze())));
+    let reply = Response::from_parts(head, ReplyBody::Full(Full::new(buffer.freeze())));
     Ok(BufferedReply { reply: strip_reply_headers(reply), head: headers, memory })
 }
 
--- a/crates/sillbank_gateway/tests/answers.rs
+++ b/crates/sillbank_gateway/tests/answers.rs
@@ -16,11 +16,11 @@
 fn log_of(ends: &[SendResult]) -> RunLog {
     let mut log = RunLog::default();
     for end in ends {
-        log.sent();
+        log.record_sent();
         match end {
-            SendResult::RefusedWithProof => log.refused(),
+            SendResult::RefusedWithProof => log.record_refused(),
             SendResult::NoAnswer => {}
-            SendResult::Ran => log.ran(),
+            SendResult::Ran => log.record_ran(),
         }
     }
     log
--- a/crates/sillbank_gateway/tests/forecasts.rs
+++ b/crates/sillbank_gateway/tests/forecasts.rs
@@ -91,7 +91,7 @@
     reported: Option<EngineState>,
 ) -> Option<StreamForecast> {
     let now = Instant::now();
-    let chance = Chance::with_seed(SEED);
+    let chance = SharedRng::with_seed(SEED);
     let (platform, hall) = (PlatformView::new(Duration::from_secs(5)), Hall::new(chance.clone()));
     platform.apply_listing(now, Snapshot { at: Revision::new(1, 1), value: vec![record] });
     if let Some(state) = reported {
--- a/crates/sillbank_gateway/tests/freshness.rs
+++ b/crates/sillbank_gateway/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! In normal operation only the leader asks the store; when the leader has lost it, others ask in
 //! time.
 
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_gateway::feed::FeedUpdate;
 use sillbank_gateway::freshness::{
     Freshness, LONG_POLL_WAIT, SOURCE_CHECK_INTERVAL, catalog_lease_term, confirmed_by_watch,
@@ -26,7 +26,7 @@
 /// Ages of the leader's confirmation as a VM knows it right before each update, over some seconds.
 fn ages_before_updates(freshness: Freshness, phase: Duration) -> Vec<Duration> {
     let began = Instant::now();
-    let (hall, mut ages) = (Hall::new(Chance::with_seed(SEED)), Vec::new());
+    let (hall, mut ages) = (Hall::new(SharedRng::with_seed(SEED)), Vec::new());
     let step = freshness.watch_wait + NETWORK_DELAY;
     // When the leader gets the next confirmation through the leader of another hall.
     let next_at = |watch_sent: Instant| watch_sent + step + OTHER_HALL_DELAY;
--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet of VMs that follow the store and each other by the gateway's own rules, in
 //! steps of 10 ms.
 
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_gateway::backoff::{Backoff, Pause};
 use sillbank_gateway::freshness::{
     Freshness, LONG_POLL_WAIT, SOURCE_CHECK_INTERVAL, confirmed_by_watch,
@@ -74,7 +74,7 @@
     vms: Vec<Vm>,
     vms_a_hall: usize,
     freshness: Freshness,
-    chance: Chance,
+    chance: SharedRng,
     began: Instant,
     now: Instant,
     calls_when_settled: Vec<u64>,
@@ -96,7 +96,7 @@
 impl Fleet {
     /// Creates `halls` halls of `vms` VMs each, all just confirmed; the first VM of each leads. All
     /// of them draw random numbers from `chance`.
-    pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, chance: Chance) -> Self {
+    pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, chance: SharedRng) -> Self {
         let began = Instant::now();
         let new = |at: usize| {
             let position =
@@ -255,7 +255,7 @@
                     vm.following = Following::Resting(now);
                 } else {
                     vm.following =
-                        Following::Pausing(vm.backoff.next_pause(now, self.chance.fraction()));
+                        Following::Pausing(vm.backoff.next_pause(now, self.chance.next_f64()));
                 }
             }
             Following::Pausing(pause) => {
--- a/crates/sillbank_once/src/claims.rs
+++ b/crates/sillbank_once/src/claims.rs
@@ -1,7 +1,7 @@
 //! The claimed keys of one slot, kept by the slot's holder.
 
 use sillbank_core::prelude::*;
-use sillbank_protocol::once::{Claim, ClaimAnswer, ClaimEnd};
+use sillbank_protocol::once::{Claim, ClaimAnswer, ClaimState};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -67,20 +67,20 @@
         let retention_ms = retention.as_millis() as u64;
         self.remove_expired(now_ms, retention_ms);
         if let Some(claim) = self.claims.get(&uid) {
-            return ClaimAnswer::Taken(claim.end);
+            return ClaimAnswer::Taken(claim.state);
         }
         let skew_ms = MAX_CLOCK_SKEW.as_millis() as u64;
         let age_ms = now_ms.saturating_sub(minted_ms.unwrap_or(now_ms));
         if age_ms > retention_ms.saturating_sub(skew_ms) {
             // The key may have been claimed, and that claim removed since.
-            return ClaimAnswer::CannotKnow { wait_ms: u64::MAX };
+            return ClaimAnswer::Undetermined { wait_ms: u64::MAX };
         }
         let is_newer = minted_ms.is_some_and(|minted| minted > self.complete_from_ms + skew_ms);
         let complete_at = self.complete_from_ms + retention_ms;
         if self.complete_from_ms > 0 && !is_newer && now_ms < complete_at {
-            return ClaimAnswer::CannotKnow { wait_ms: complete_at - now_ms };
+            return ClaimAnswer::Undetermined { wait_ms: complete_at - now_ms };
         }
-        let claim = Claim { uid, claim: claim_id, claimed_ms: now_ms, end: ClaimEnd::Open };
+        let claim = Claim { uid, claim: claim_id, claimed_ms: now_ms, state: ClaimState::Open };
         self.claims.insert(uid, claim);
         self.by_time.push_back((now_ms, uid));
         ClaimAnswer::Granted(claim_id)
@@ -93,8 +93,8 @@
         };
         match run {
             RunState::NotRun => drop(self.claims.remove(&uid)),
-            RunState::Ran => claim.end = ClaimEnd::Ran,
-            RunState::Unknown => claim.end = ClaimEnd::Unknown,
+            RunState::Ran => claim.state = ClaimState::Ran,
+            RunState::Unknown => claim.state = ClaimState::Unknown,
         }
     }
 
