--- a/crates/sillbank_control/src/gossip.rs
+++ b/crates/sillbank_control/src/gossip.rs
@@ -27,7 +27,7 @@
         let actions = control.membership.borrow_mut().on_tick(Instant::now(), summary);
         perform(&control, actions).await;
         // Jitter of 10 % desynchronises VMs that started at the same time.
-        let jitter = 0.95 + 0.1 * control.rng.fraction();
+        let jitter = 0.95 + 0.1 * control.rng.next_f64();
         Timer::after(control.settings.gossip_interval.mul_f64(jitter)).await;
     }
 }
--- a/crates/sillbank_control/src/lease_io.rs
+++ b/crates/sillbank_control/src/lease_io.rs
@@ -28,7 +28,7 @@
 
     /// A random mark that identifies one write.
     pub(crate) fn new_mark(&self) -> u64 {
-        self.control.rng.number()
+        self.control.rng.next_u64()
     }
 
     /// Reads a lease object; `None` if it does not exist or is deleted.
--- a/crates/sillbank_control/src/once.rs
+++ b/crates/sillbank_control/src/once.rs
@@ -170,7 +170,7 @@
     };
     watched.busy = false;
     let pause = (control.settings.once_term / 8).min(MAX_CHECK_PAUSE);
-    watched.next_check = Instant::now() + pause.mul_f64(0.5 + control.rng.fraction());
+    watched.next_check = Instant::now() + pause.mul_f64(0.5 + control.rng.next_f64());
     match watched.slot.sync_claims(moment()) {
         Some(SlotAcquisition::New) => {
             tracing::info!("control: Slot {name} was acquired; it is new.")
@@ -198,7 +198,7 @@
     let mut slots = control.slots.slots.borrow_mut();
     match slots.get_mut(name) {
         Some(watched) => {
-            watched.slot.claim(moment(), uid, minted_ms, control.rng.number(), retention)
+            watched.slot.claim(moment(), uid, minted_ms, control.rng.next_u64(), retention)
         }
         None => ClaimAnswer::NotHolder,
     }
@@ -282,7 +282,7 @@
 
 /// Mints a new key for callers of this VM's hall.
 pub(crate) fn mint_key(control: &Control) -> String {
-    mint(&control.settings.hall, moment().wall_ms, control.rng.number(), &control.keys[0])
+    mint(&control.settings.hall, moment().wall_ms, control.rng.next_u64(), &control.keys[0])
 }
 
 /// Stores the claims that a stopping holder hands over. The lease is acquired once it is free.
--- a/crates/sillbank_control/src/platform_watch.rs
+++ b/crates/sillbank_control/src/platform_watch.rs
@@ -45,7 +45,7 @@
                 tracing::warn!("control: Reading the platform failed: {error}.");
                 control.metrics.platform_failures.inc();
                 // Jitter from 0.5 to 1.5 of the pause prevents a thundering herd when the platform recovers.
-                Timer::after(pause.mul_f64(0.5 + control.rng.fraction())).await;
+                Timer::after(pause.mul_f64(0.5 + control.rng.next_f64())).await;
                 pause = (pause * 2).min(BACKOFF.1);
             }
         }
--- a/crates/sillbank_control/src/state.rs
+++ b/crates/sillbank_control/src/state.rs
@@ -41,7 +41,7 @@
     pub(crate) holds_orders_lease: Cell<bool>,
     pub(crate) slots: crate::once::Slots,
     /// Source of random numbers.
-    pub(crate) rng: Chance,
+    pub(crate) rng: SharedRng,
 }
 
 impl Control {
@@ -61,7 +61,7 @@
             interval: settings.gossip_interval,
             incarnation: since_epoch.map_or(0, |time| time.as_millis() as u64),
         };
-        let rng = Chance::from_entropy();
+        let rng = SharedRng::from_entropy();
         let metrics = crate::metrics::Metrics::new();
         let mut platform = PlatformClient::new(client.clone(), settings.platform);
         platform.bytes = metrics.platform_bytes.clone();
@@ -69,7 +69,7 @@
             platform,
             keys: settings.peer_keys.iter().map(|text| SealKey::from_text(text)).collect(),
             store: Store::default(),
-            membership: RefCell::new(Membership::new(config, rng.number())),
+            membership: RefCell::new(Membership::new(config, rng.next_u64())),
             follower: RefCell::default(),
             peer_summaries: RefCell::default(),
             in_force: Cell::new(0),
@@ -86,7 +86,7 @@
 
     /// A random number that is unique in the fleet.
     pub(crate) fn unique_id(&self) -> u128 {
-        u128::from(self.rng.number()) << u64::BITS | u128::from(self.rng.number())
+        u128::from(self.rng.next_u64()) << u64::BITS | u128::from(self.rng.next_u64())
     }
 
     /// The summary that this VM gossips about itself.
--- a/crates/sillbank_entry/src/callers.rs
+++ b/crates/sillbank_entry/src/callers.rs
@@ -142,7 +142,7 @@
             chat.model.clone(),
             span,
         );
-        let id = drive_id(uid, request.plan.attempt);
+        let id = execution_id(uid, request.plan.attempt);
         let progress = Progress::new(context.request_id.clone());
         self.entry.stop.generations.register(id, request.mailbox.clone(), progress.clone());
         let entry = self.entry.clone();
@@ -249,7 +249,7 @@
             kv_tokens,
             prefill_tokens: (prompt.len() + known.len()) as u32,
             tokens: max_tokens as u32 - known.len() as u32,
-            except: None,
+            excluded: None,
         });
         let Some(chain) = chain else {
             let reason = format!("No chain of endpoints covers pipeline '{}'.", chat.model);
@@ -284,8 +284,8 @@
     fn first_attempt(&self) -> Attempt {
         let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let millis = since_epoch.map_or(0, |time| time.as_millis() as u64);
-        let random = self.entry.rng.borrow_mut().u64(..ATTEMPT_RAISE);
-        millis << ATTEMPT_DRAW_BITS | random
+        let random = self.entry.rng.borrow_mut().u64(..ATTEMPT_INCREMENT);
+        millis << ATTEMPT_RANDOM_BITS | random
     }
 }
 
--- a/crates/sillbank_entry/src/engine_link.rs
+++ b/crates/sillbank_entry/src/engine_link.rs
@@ -50,12 +50,12 @@
 
     /// Tells the engine that this VM has ended the request.
     pub(crate) fn cancel(&self, uid: RequestUid, attempt: Attempt) {
-        self.stop_awaiting(drive_id(uid, attempt));
+        self.stop_awaiting(execution_id(uid, attempt));
         self.write(&EngineRequest::Cancel { uid, attempt });
     }
 
     /// Stops waiting for a request's reply without telling the engine.
-    pub(crate) fn stop_awaiting(&self, id: DriveId) {
+    pub(crate) fn stop_awaiting(&self, id: ExecutionId) {
         self.awaited.borrow_mut().take(id);
     }
 
--- a/crates/sillbank_entry/src/execution.rs
+++ b/crates/sillbank_entry/src/execution.rs
@@ -118,8 +118,8 @@
     }
 
     /// Identifies this execution among those of the same request.
-    fn id(&self) -> DriveId {
-        drive_id(self.uid, self.generation.attempt())
+    fn id(&self) -> ExecutionId {
+        execution_id(self.uid, self.generation.attempt())
     }
 
     /// Passes an event to the generation and performs the resulting actions.
@@ -224,14 +224,14 @@
     fn reserve_usable_endpoint(&self, stage: StageIndex) -> Option<EndpointSlot> {
         let old = self.stages[stage];
         let exclusions = [Some(old.endpoint), None];
-        exclusions.into_iter().find_map(|except| {
+        exclusions.into_iter().find_map(|excluded| {
             let request = ChainRequest {
                 pipeline: &self.pipeline,
                 layers: old.layers,
                 kv_tokens: self.kv_tokens,
                 prefill_tokens: self.generation.sequence_len(),
                 tokens: self.generation.tokens_left(),
-                except,
+                excluded,
             };
             let chain = self.entry.reserve_chain(&request)?;
             match chain[..] {
@@ -303,7 +303,7 @@
 
     /// Records metrics and logs the time of each stage.
     fn report(&self) {
-        let tally = self.generation.tally();
+        let tally = self.generation.stats();
         let metrics = &self.entry.metrics;
         metrics.replayed_tokens.inc_by(u64::from(tally.replayed_tokens));
         metrics.stages_lost.inc_by(u64::from(tally.losses));
--- a/crates/sillbank_entry/src/in_flight.rs
+++ b/crates/sillbank_entry/src/in_flight.rs
@@ -77,17 +77,17 @@
 /// All generations of this VM that have not ended.
 #[derive(Default)]
 pub(crate) struct Generations {
-    all: RefCell<HashMap<DriveId, InFlightGeneration>>,
+    all: RefCell<HashMap<ExecutionId, InFlightGeneration>>,
 }
 
 impl Generations {
     /// Adds a generation in flight.
-    pub(crate) fn register(&self, id: DriveId, mailbox: Mailbox, progress: Rc<Progress>) {
+    pub(crate) fn register(&self, id: ExecutionId, mailbox: Mailbox, progress: Rc<Progress>) {
         self.all.borrow_mut().insert(id, InFlightGeneration { mailbox, progress });
     }
 
     /// Removes a generation that has ended.
-    pub(crate) fn unregister(&self, id: DriveId) {
+    pub(crate) fn unregister(&self, id: ExecutionId) {
         self.all.borrow_mut().remove(&id);
     }
 
@@ -106,14 +106,14 @@
     /// The oldest generations and what they wait for, for `/v1/status`.
     pub(crate) fn status(&self, entry: &Entry) -> Vec<serde_json::Value> {
         let all = self.all.borrow();
-        let mut oldest: Vec<(&DriveId, &InFlightGeneration)> = all.iter().collect();
+        let mut oldest: Vec<(&ExecutionId, &InFlightGeneration)> = all.iter().collect();
         oldest.sort_by_key(|(_, generation)| generation.progress.started_at);
         let listed = oldest.into_iter().take(MAX_LISTED_GENERATIONS);
         listed.map(|(id, generation)| status_of(entry, *id, &generation.progress)).collect()
     }
 }
 
-fn status_of(entry: &Entry, id: DriveId, progress: &Progress) -> serde_json::Value {
+fn status_of(entry: &Entry, id: ExecutionId, progress: &Progress) -> serde_json::Value {
     let state = progress.state.get();
     // A generation whose stage is being replaced waits for no reply.
     let sent = progress.sent.get().filter(|_| state == State::Running);
--- a/crates/sillbank_entry/src/sink.rs
+++ b/crates/sillbank_entry/src/sink.rs
@@ -144,7 +144,7 @@
 
     /// Bytes that the caller has not read yet.
     pub(crate) fn buffered_bytes(&self) -> usize {
-        self.outbox.waiting_bytes()
+        self.outbox.buffered_bytes()
     }
 
     /// Waits until at most `limit` bytes are unread.
@@ -154,7 +154,7 @@
 
     /// Ready once the caller has disconnected.
     pub(crate) fn poll_disconnected(&self, context: &mut Context<'_>) -> Poll<()> {
-        self.outbox.poll_gone(context)
+        self.outbox.poll_reader_closed(context)
     }
 
     fn write_chunk(&self, content: Option<&str>, reason: Option<FinishReason>) {
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -277,7 +277,7 @@
 ) -> Result<Choice, CallRefusal> {
     let now = Instant::now();
     let settings = gateway.settings();
-    let draw = || gateway.rng.fraction();
+    let draw = || gateway.rng.next_f64();
     let context = gateway.routing_context(now);
     gateway.platform.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
--- a/crates/sillbank_gateway/src/feed/client.rs
+++ b/crates/sillbank_gateway/src/feed/client.rs
@@ -11,7 +11,7 @@
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
 use sillbank_net::frames::{FrameError, read_message, write_message};
-use sillbank_net::liveness::end_when_silent;
+use sillbank_net::liveness::enable_keepalive;
 use sillbank_quarantine::prelude::*;
 use smol::net::TcpStream;
 use std::collections::BTreeSet;
@@ -84,7 +84,7 @@
     async fn open(address: SocketAddr) -> Result<Self, FrameError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        end_when_silent(&stream)?;
+        enable_keepalive(&stream)?;
         Ok(Self {
             stream,
             address,
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -103,7 +103,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Bytes buffered for callers and endpoints.
-    pub memory_budget: KeptBytes,
+    pub memory_budget: MemoryBudget,
     /// How near this VM is to its own limits.
     pub limits: RefCell<LimitMeter>,
     /// Runs tasks.
@@ -113,7 +113,7 @@
     /// Random number that distinguishes this process from earlier ones on the same VM.
     pub incarnation: Incarnation,
     /// Source of randomness for all decisions.
-    pub rng: Chance,
+    pub rng: SharedRng,
     /// Number of requests in progress.
     pub in_progress: Cell<u64>,
     store_reached: Cell<bool>,
@@ -131,13 +131,13 @@
         store: S,
         engine_calls: HttpClient,
         executor: Rc<LocalExecutor<'static>>,
-        rng: Chance,
+        rng: SharedRng,
     ) -> Self {
         let metrics = Metrics::default();
-        let (incarnation, started_at) = (rng.number(), Instant::now());
+        let (incarnation, started_at) = (rng.next_u64(), Instant::now());
         Self {
             platform: PlatformView::new(settings.key_revocation),
-            memory_budget: KeptBytes::new(settings.buffer_limit_bytes()),
+            memory_budget: MemoryBudget::new(settings.buffer_limit_bytes()),
             settings: RefCell::new(Rc::new(settings)),
             store: CountedStore::new(store, metrics.store_calls.clone()),
             unreadable: UnreadableEntries::default(),
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -173,7 +173,7 @@
     /// Which mechanisms are enabled.
     pub mechanisms: Mechanisms,
     /// Source of the random part of costs.
-    pub rng: &'a Chance,
+    pub rng: &'a SharedRng,
     /// Current time.
     pub now: Instant,
 }
@@ -291,7 +291,7 @@
     let factor = kind.map_or(1.0, |kind| kind.step_factor);
     let busy = 1.0 + f64::from(endpoint_tracker.in_flight(&record.id)) / DOUBLING_REQUESTS;
     let layer_ms = figures.step_ms / f64::from(figures.layers.max(1));
-    let jitter = 1.0 + COST_JITTER * rng.fraction();
+    let jitter = 1.0 + COST_JITTER * rng.next_f64();
     let unreported = unreported_load(context, request, record, &reported);
     let capacity = kind.and_then(|kind| kv_capacity(figures, kind, layers.len()));
     let kv_usage =
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -29,7 +29,7 @@
     pub(super) rules: StreamRules,
     pub(super) outbox: Outbox,
     /// Memory budget taken by an incomplete event.
-    pub(super) partial_event_memory: Option<KeptShare>,
+    pub(super) partial_event_memory: Option<MemoryReservation>,
     /// Number of the last event that was sent to the caller.
     pub(super) last_number: Option<EventNumber>,
     pub(super) events: u64,
@@ -58,8 +58,8 @@
         let outbox = self.outbox.clone();
         let deadline = self.job.deadline;
         let caller_gone = async {
-            std::future::poll_fn(|context| outbox.poll_gone(context)).await;
-            match outbox.reader_cut() {
+            std::future::poll_fn(|context| outbox.poll_reader_closed(context)).await;
+            match outbox.reader_cut_off() {
                 true => (Outcome::BrokenOff, "the caller read nothing for too long".to_owned()),
                 false => (Outcome::CallerLeft, "the caller left".to_owned()),
             }
@@ -76,7 +76,7 @@
         if outcome == Outcome::Answered {
             self.outbox.close();
         } else {
-            self.outbox.break_off();
+            self.outbox.abort();
         }
         guard.end(outcome, StatusCode::OK.as_u16(), self.events, &reason);
     }
@@ -184,7 +184,7 @@
                     }
                 }
             }
-            if self.outbox.waiting_bytes() > MAX_BUFFERED_BYTES {
+            if self.outbox.buffered_bytes() > MAX_BUFFERED_BYTES {
                 self.outbox.drained_to(MAX_BUFFERED_BYTES / 2).await;
                 // Reading from the endpoint was suspended, so this time is not a pause of the
                 // endpoint.
@@ -235,7 +235,7 @@
     /// Charges the bytes of an incomplete event to the VM's memory budget.
     fn reserve_partial_event(&mut self, bytes: usize) -> Result<(), String> {
         let Some(partial_event_memory) = &mut self.partial_event_memory else {
-            self.partial_event_memory = self.gateway.memory_budget.try_keep(bytes);
+            self.partial_event_memory = self.gateway.memory_budget.try_reserve(bytes);
             return self.partial_event_memory.as_ref().map(|_| ()).ok_or_else(out_of_memory);
         };
         partial_event_memory.try_resize(bytes).then_some(()).ok_or_else(out_of_memory)
--- a/crates/sillbank_gateway/src/vm_limits/monitor.rs
+++ b/crates/sillbank_gateway/src/vm_limits/monitor.rs
@@ -19,9 +19,9 @@
         smol::Timer::at(due).await;
         let now = Instant::now();
         let reading = VmReading {
-            passed_bytes: gateway.memory_budget.passed_bytes(),
+            passed_bytes: gateway.memory_budget.transferred_bytes(),
             requests: gateway.in_progress.get(),
-            buffered_bytes: gateway.memory_budget.kept_bytes(),
+            buffered_bytes: gateway.memory_budget.used_bytes(),
             connections: gateway.memory_budget.connections(),
             timer_lag: now.saturating_duration_since(due),
         };
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -68,7 +68,7 @@
 }
 
 fn chosen_by(seed: u64, records: &[EndpointRecord], engines: Vec<EngineState>) -> Vec<EndpointId> {
-    let rng = Chance::with_seed(seed);
+    let rng = SharedRng::with_seed(seed);
     let path = path_with_load(records, engines, &Rc::default(), &rng).expect("there is one");
     path.parts().iter().map(|part| part.endpoint.clone()).collect()
 }
@@ -91,7 +91,7 @@
     records: &[EndpointRecord],
     engines: Vec<EngineState>,
     endpoint_tracker: &Rc<EndpointTracker>,
-    rng: &Chance,
+    rng: &SharedRng,
 ) -> Option<LayerPath> {
     let now = Instant::now();
     let vm = Vm { endpoint_tracker: endpoint_tracker.clone(), ..Vm::new(rng) };
@@ -106,12 +106,12 @@
     hall: Hall,
     endpoint_tracker: Rc<EndpointTracker>,
     pushback: RefCell<PushbackTracker>,
-    rng: Chance,
+    rng: SharedRng,
 }
 
 impl Vm {
     /// A VM that knows nothing yet.
-    fn new(rng: &Chance) -> Self {
+    fn new(rng: &SharedRng) -> Self {
         Self {
             platform: PlatformView::new(Duration::from_secs(5)),
             hall: Hall::new(rng.clone()),
@@ -142,8 +142,8 @@
     }
 }
 
-fn rng() -> Chance {
-    Chance::with_seed(SEEDS.start)
+fn rng() -> SharedRng {
+    SharedRng::with_seed(SEEDS.start)
 }
 
 fn path_for(service: &Service, context: RoutingContext<'_>) -> Option<LayerPath> {
--- a/crates/sillbank_net/src/clocks.rs
+++ b/crates/sillbank_net/src/clocks.rs
@@ -1,17 +1,17 @@
-//! The machine's clocks beyond those of the standard library.
+//! System clocks that the standard library does not provide.
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use sillbank_core::suspension::ClockReading;
 use std::time::Duration;
 
-/// Reads the clocks that tell whether the machine was suspended.
+/// Reads the boot clock and the monotonic clock, whose difference shows suspensions of the machine.
 pub fn read_clocks() -> ClockReading {
-    let since_start = to_duration(clock_gettime(ClockId::Boottime));
-    let steady = to_duration(clock_gettime(ClockId::Monotonic));
-    ClockReading { since_start, steady }
+    let boottime = to_duration(clock_gettime(ClockId::Boottime));
+    let monotonic = to_duration(clock_gettime(ClockId::Monotonic));
+    ClockReading { boottime, monotonic }
 }
 
 fn to_duration(time: Timespec) -> Duration {
-    // Neither clock is ever below zero.
+    // Neither clock is ever negative.
     Duration::try_from(time).unwrap_or(Duration::ZERO)
 }
