--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -1,13 +1,13 @@
-//! Log lines of decisions: one for each that touches a request or changes a belief.
+//! Decision log: one line for each decision about a request and each change of the VM's knowledge.
 //!
-//! Lines of requests have a budget a second; what does not fit is counted and told. Lines of
-//! beliefs are few and always written.
+//! Lines about requests are rate limited; dropped ones are counted and reported. Lines about
+//! knowledge are few and always written.
 
-use crate::ends::BrokenSend;
+use crate::crashes::BrokenSend;
 use crate::job::Job;
-use crate::knowledge::KnowledgeStamp;
+use crate::platform_view::ViewStamp;
 use crate::revision::Revision;
-use crate::wire::OrderEnd;
+use crate::wire::OrderOutcome;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
@@ -17,19 +17,20 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Lines of requests a second. At about 300 bytes each this is at most 60 KB a second.
-const LINES_PER_S: u32 = 200;
+/// Maximum lines about requests per second. At about 300 bytes each this is at most 60 KB per
+/// second.
+const MAX_LINES_PER_S: u32 = 200;
 
 /// How a request ended, as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// With the endpoint's own answer, whole.
+    /// The endpoint's own answer was sent completely.
     Answered,
-    /// With a refusal that says that it was not run.
+    /// A refusal that guarantees that the request was not run.
     Refused,
-    /// With a failure that says that it may have run.
+    /// A failure: the request may have run.
     Failed,
-    /// With a stream that was broken off.
+    /// The stream was broken off.
     BrokenOff,
     /// The caller left before the end.
     CallerLeft,
@@ -48,43 +49,43 @@
     }
 }
 
-/// How one sending of a request ended.
+/// A send that ended without the answer for the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SendEnd<'a> {
-    /// Endpoint it was sent to.
+pub struct FailedSend<'a> {
+    /// Endpoint that the request was sent to.
     pub endpoint: &'a str,
-    /// Endpoint that is held to be the reason, if it is another.
+    /// Endpoint at fault, if it is another one.
     pub at_fault: Option<&'a str>,
-    /// What is known of the work.
+    /// What is known of the request's execution.
     pub run: RunState,
     /// What happened.
     pub reason: &'a str,
-    /// Time since it was sent.
+    /// Time since the send.
     pub after: Duration,
 }
 
-/// Writes decision lines within a budget.
+/// Writes the decision log, with a rate limit on lines about requests.
 #[derive(Debug)]
-pub struct Decisions {
-    second_began: Cell<Instant>,
-    written: Cell<u32>,
-    left_out: Cell<u64>,
+pub struct DecisionLog {
+    window_start: Cell<Instant>,
+    lines_written: Cell<u32>,
+    lines_dropped: Cell<u64>,
 }
 
-impl Default for Decisions {
+impl Default for DecisionLog {
     fn default() -> Self {
         Self {
-            second_began: Cell::new(Instant::now()),
-            written: Cell::new(0),
-            left_out: Cell::new(0),
+            window_start: Cell::new(Instant::now()),
+            lines_written: Cell::new(0),
+            lines_dropped: Cell::new(0),
         }
     }
 }
 
-impl Decisions {
+impl DecisionLog {
     /// A request was refused before it was admitted.
-    pub fn refused(&self, request_id: &str, failure: &Failure, stamp: KnowledgeStamp) {
-        if self.fits() {
+    pub fn refused(&self, request_id: &str, failure: &Failure, stamp: ViewStamp) {
+        if self.take_line() {
             tracing::info!(
                 request = request_id,
                 status = failure.kind.http_status(),
@@ -98,16 +99,16 @@
         }
     }
 
-    /// A request is sent to an endpoint, or to the first of a path.
+    /// A request is sent to an endpoint, or to the first one of a path.
     pub fn sent(
         &self,
         job: &Job,
         endpoint: &str,
         path: Option<&LayerPath>,
         resume_after: Option<u64>,
-        stamp: KnowledgeStamp,
+        stamp: ViewStamp,
     ) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 route = job.route.name,
@@ -127,25 +128,25 @@
         }
     }
 
-    /// A sending ended without the answer that its caller gets.
-    pub fn send_failed(&self, job: &Job, end: &SendEnd<'_>) {
-        if self.fits() {
+    /// A send ended without the answer for the caller.
+    pub fn send_failed(&self, job: &Job, failed: &FailedSend<'_>) {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 send = job.sends.get(),
-                endpoint = end.endpoint,
-                at_fault = end.at_fault,
-                run = ?end.run,
-                reason = end.reason,
-                after_ms = end.after.as_millis() as u64,
+                endpoint = failed.endpoint,
+                at_fault = failed.at_fault,
+                run = ?failed.run,
+                reason = failed.reason,
+                after_ms = failed.after.as_millis() as u64,
                 "route: Send failed."
             );
         }
     }
 
-    /// A request is not sent to an endpoint that asked for fewer.
+    /// A request is withheld from an endpoint that asked for fewer.
     pub fn withheld(&self, job: &Job, withheld: &Withheld) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 endpoint = withheld.endpoint,
@@ -155,9 +156,9 @@
         }
     }
 
-    /// An endpoint ended while a request was there, which may be the reason or not.
-    pub fn ended_under(&self, job: &Job, send: &BrokenSend, is_suspected: bool) {
-        if self.fits() {
+    /// An endpoint crashed while it had this request, which may or may not be the cause.
+    pub fn endpoint_crashed(&self, job: &Job, send: &BrokenSend, is_suspected: bool) {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 fingerprint = describe_fingerprint(job.fingerprint()),
@@ -170,21 +171,21 @@
         }
     }
 
-    /// A running request is moved to a path on which others run a lost part.
+    /// A running request is moved to a path on which another engine runs a lost part.
     pub fn moved(
         &self,
         job: &Job,
         lost: &[EndpointId],
         path: &LayerPath,
-        end: OrderEnd,
-        stamp: KnowledgeStamp,
+        outcome: OrderOutcome,
+        stamp: ViewStamp,
     ) {
-        if self.fits() {
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 at_fault = lost.join(","),
                 path = describe_path(path),
-                end = end.name(),
+                end = outcome.name(),
                 endpoints_at = %stamp.endpoints_at,
                 "route: Moved."
             );
@@ -193,8 +194,8 @@
 
     /// A request ended.
     pub fn ended(&self, job: &Job, outcome: Outcome, status: u16, events: u64, reason: &str) {
-        let foretold = job.foretold().map(|foretold| foretold.corrected);
-        if self.fits() {
+        let forecast = job.forecast().map(|forecast| forecast.corrected);
+        if self.take_line() {
             tracing::info!(
                 request = job.head.request_id,
                 route = job.route.name,
@@ -209,10 +210,10 @@
                 reason,
                 first_ms = job.delivery.first().map(|first| first.as_millis() as u64),
                 pause_ms = job.delivery.longest_pause().as_millis() as u64,
-                foretold_first_ms = foretold.map(|told| told.first_event.as_millis() as u64),
-                foretold_pause_ms = foretold.map(|told| told.pause.as_millis() as u64),
+                foretold_first_ms = forecast.map(|times| times.first_event.as_millis() as u64),
+                foretold_pause_ms = forecast.map(|times| times.pause.as_millis() as u64),
                 moves = job.delivery.moves(),
-                total_ms = job.began.elapsed().as_millis() as u64,
+                total_ms = job.received_at.elapsed().as_millis() as u64,
                 "caller: Ended."
             );
         }
@@ -222,12 +223,12 @@
     pub fn catalog_read(&self, version: Option<CatalogVersion>, at: Revision, taken: bool) {
         match taken {
             true => tracing::info!(version, %at, "catalog: Taken."),
-            false => tracing::info!(version, %at, "catalog: Left, a newer one is in force."),
+            false => tracing::info!(version, %at, "catalog: Ignored, a newer one is in force."),
         }
     }
 
-    /// Tells of figures of services' engines that forecasts have to do without.
-    pub fn figures_unusable(&self, services: &[Service]) {
+    /// Warns of missing or impossible figures of services' engines, which forecasts do not use.
+    pub fn warn_invalid_figures(&self, services: &[Service]) {
         for service in services {
             let invalid_figures =
                 service.engine.as_ref().map(EngineFigures::invalid_figures).unwrap_or_default();
@@ -235,7 +236,7 @@
                 tracing::warn!(
                     service = service.name,
                     figures = invalid_figures.join(","),
-                    "catalog: Figures are missing or cannot be; forecasts do without them."
+                    "catalog: Figures are missing or impossible; forecasts do not use them."
                 );
             }
         }
@@ -255,8 +256,8 @@
         );
     }
 
-    /// An endpoint's entry is gone.
-    pub fn endpoint_removed(&self, id: &str, removal: Removal, stamp: KnowledgeStamp) {
+    /// An endpoint's entry was removed.
+    pub fn endpoint_removed(&self, id: &str, removal: Removal, stamp: ViewStamp) {
         tracing::info!(
             endpoint = id,
             meaning = ?removal,
@@ -265,35 +266,40 @@
         );
     }
 
-    fn fits(&self) -> bool {
+    /// Takes a line from the rate limit; returns false if it is used up.
+    fn take_line(&self) -> bool {
         let now = Instant::now();
-        if now.saturating_duration_since(self.second_began.get()) >= Duration::from_secs(1) {
-            let left_out = self.left_out.replace(0);
-            if left_out > 0 {
-                tracing::warn!(left_out, limit_per_s = LINES_PER_S, "log: Left lines out.");
+        if now.saturating_duration_since(self.window_start.get()) >= Duration::from_secs(1) {
+            let lines_dropped = self.lines_dropped.replace(0);
+            if lines_dropped > 0 {
+                tracing::warn!(
+                    left_out = lines_dropped,
+                    limit_per_s = MAX_LINES_PER_S,
+                    "log: Lines dropped by the rate limit."
+                );
             }
-            self.second_began.set(now);
-            self.written.set(0);
+            self.window_start.set(now);
+            self.lines_written.set(0);
         }
-        if self.written.get() >= LINES_PER_S {
-            self.left_out.set(self.left_out.get() + 1);
+        if self.lines_written.get() >= MAX_LINES_PER_S {
+            self.lines_dropped.set(self.lines_dropped.get() + 1);
             return false;
         }
-        self.written.set(self.written.get() + 1);
+        self.lines_written.set(self.lines_written.get() + 1);
         true
     }
 }
 
-/// A fingerprint as logs name it.
+/// A fingerprint as written in logs.
 pub fn describe_fingerprint(fingerprint: Fingerprint) -> String {
     format!("{fingerprint:032x}")
 }
 
-/// A path in one word: `ENDPOINT=FROM-TO` for each part.
+/// A path as one word: `ENDPOINT=FROM-TO` for each part.
 pub fn describe_path(path: &LayerPath) -> String {
     let parts = path.parts().iter();
-    let texts: Vec<String> = parts
+    let words: Vec<String> = parts
         .map(|part| format!("{}={}-{}", part.endpoint, part.layers.first, part.layers.end))
         .collect();
-    texts.join(",")
+    words.join(",")
 }
--- a/crates/sillbank_gateway/src/forecasts.rs
+++ b/crates/sillbank_gateway/src/forecasts.rs
@@ -1,10 +1,10 @@
-//! What streams are foretold at their send, and how that came true.
+//! Forecasts of what a stream's caller will see, made at the first send, and their errors.
 
 use crate::delivery::Delivery;
 use crate::job::Job;
 use crate::mechanisms::Mechanisms;
 use crate::metrics::Metrics;
-use crate::paths::{PathAsk, Views};
+use crate::paths::{PathRequest, RoutingContext};
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
 use sillbank_engines::prelude::*;
@@ -14,74 +14,75 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// What a stream's caller was likely to see when the stream was sent.
+/// Forecast for a stream, made when it was sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Foretold {
-    /// Hall in which its path begins.
+pub struct StreamForecast {
+    /// Hall in which the path starts.
     pub hall: HallId,
-    /// When it was sent.
+    /// When the stream was sent.
     pub sent_at: Instant,
-    /// By the figures.
-    pub plain: ForecastTimes,
-    /// With what was learnt of the hall.
+    /// Prediction from the service's figures and the engines' load.
+    pub uncorrected: ForecastTimes,
+    /// The same with the learned correction of the hall.
     pub corrected: ForecastTimes,
 }
 
-/// Seen over foretold, where both are known.
+/// Ratios of observed to forecast times, where both are known.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ForecastRatios {
-    /// Of the time to the first event.
+    /// For the time to the first event.
     pub first_event: Option<f64>,
-    /// Of the longest pause.
+    /// For the longest pause.
     pub pause: Option<f64>,
 }
 
-/// What was learnt of one hall.
+/// Learned correction of one hall.
 #[derive(Debug, Clone, Copy, Default)]
 struct HallCorrection {
     first_event: ForecastCorrection,
     pause: ForecastCorrection,
 }
 
-/// What was learnt of forecasts, by the hall in which paths begin.
+/// Learned corrections, by the hall in which paths start.
 #[derive(Debug, Default)]
 pub struct Forecasts {
     by_hall: RefCell<HashMap<HallId, HallCorrection>>,
 }
 
 impl Forecasts {
-    /// What a stream that is sent over a path now is likely to show; `None` where leaders or the service's
-    /// figures do not tell enough of the path's engines.
-    pub fn foretell(
+    /// Makes the forecast for a stream that is sent over a path now. `None` where the leaders'
+    /// reports or the service's figures do not cover all engines of the path.
+    pub fn predict(
         &self,
-        views: Views<'_>,
-        ask: PathAsk<'_>,
+        context: RoutingContext<'_>,
+        ask: PathRequest<'_>,
         path: &LayerPath,
-    ) -> Option<Foretold> {
-        let (hall, plain) = views.knowledge.endpoints(|directory| {
+    ) -> Option<StreamForecast> {
+        let (hall, uncorrected) = context.platform.endpoints(|directory| {
             let hall = directory.get(&path.first().endpoint)?.hall.clone();
-            let load = |part| engine_load(views, ask.figures, directory, part);
+            let load = |part| reported_load(context, ask.figures, directory, part);
             let loads: Option<Vec<EngineLoad<'_>>> = path.parts().iter().map(load).collect();
             Some((hall, forecast(ask.figures, &loads?, ask.demand)))
         })?;
-        let learnt = self.by_hall.borrow().get(&hall).copied().unwrap_or_default();
+        let correction = self.by_hall.borrow().get(&hall).copied().unwrap_or_default();
         let corrected = ForecastTimes {
-            first_event: learnt.first_event.apply(plain.first_event),
-            pause: learnt.pause.apply(plain.pause),
+            first_event: correction.first_event.apply(uncorrected.first_event),
+            pause: correction.pause.apply(uncorrected.pause),
         };
-        Some(Foretold { hall, sent_at: views.now, plain, corrected })
+        Some(StreamForecast { hall, sent_at: context.now, uncorrected, corrected })
     }
 
-    /// A stream was answered whole: its forecast's error is told if it ran on the path that it was foretold for.
+    /// A stream was answered completely: records the forecast's error if the stream ran on the path
+    /// the forecast was made for.
     pub fn on_answered(&self, job: &Job, mechanisms: Mechanisms, metrics: &Metrics) {
-        let Some(foretold) = job.foretold() else {
+        let Some(forecast) = job.forecast() else {
             return;
         };
         if job.sends.get() > 1 || job.delivery.moves() > 0 {
             return;
         }
         let is_learning = mechanisms.forecast_learning;
-        let ratios = self.on_shown(foretold, job.began, &job.delivery, is_learning);
+        let ratios = self.record_observed(forecast, job.received_at, &job.delivery, is_learning);
         if let Some(ratio) = ratios.first_event {
             metrics.forecast_first_ratio.observe(ratio);
         }
@@ -90,48 +91,49 @@
         }
     }
 
-    /// Compares what was foretold with what a stream that was read at `began` showed, and learns from it if
-    /// `is_learning`.
-    pub fn on_shown(
+    /// Compares a forecast with what was observed of a stream, and learns from it if `is_learning`.
+    /// `received_at` is when the stream's request was received.
+    pub fn record_observed(
         &self,
-        foretold: &Foretold,
-        began: Instant,
-        shown: &Delivery,
+        forecast: &StreamForecast,
+        received_at: Instant,
+        delivery: &Delivery,
         is_learning: bool,
     ) -> ForecastRatios {
-        let held = foretold.sent_at.saturating_duration_since(began);
-        let first_event = shown.first().map(|first| first.saturating_sub(held));
-        let pause = Some(shown.longest_pause()).filter(|pause| !pause.is_zero());
+        let delay = forecast.sent_at.saturating_duration_since(received_at);
+        let first_event = delivery.first().map(|first| first.saturating_sub(delay));
+        let pause = Some(delivery.longest_pause()).filter(|pause| !pause.is_zero());
         if is_learning {
             let mut by_hall = self.by_hall.borrow_mut();
-            let learnt = by_hall.entry(foretold.hall.clone()).or_default();
+            let correction = by_hall.entry(forecast.hall.clone()).or_default();
             if let Some(first_event) = first_event {
-                learnt.first_event.observe(foretold.plain.first_event, first_event);
+                correction.first_event.observe(forecast.uncorrected.first_event, first_event);
             }
             if let Some(pause) = pause {
-                learnt.pause.observe(foretold.plain.pause, pause);
+                correction.pause.observe(forecast.uncorrected.pause, pause);
             }
         }
-        let ForecastTimes { first_event: first_foretold, pause: pause_foretold } =
-            foretold.corrected;
+        let ForecastTimes { first_event: expected_first_event, pause: expected_pause } =
+            forecast.corrected;
         let known = |ratio: f64| Some(ratio).filter(|ratio| ratio.is_finite());
         ForecastRatios {
-            first_event: first_event.and_then(|seen| known(seen.div_duration_f64(first_foretold))),
-            pause: pause.and_then(|seen| known(seen.div_duration_f64(pause_foretold))),
+            first_event: first_event
+                .and_then(|observed| known(observed.div_duration_f64(expected_first_event))),
+            pause: pause.and_then(|observed| known(observed.div_duration_f64(expected_pause))),
         }
     }
 }
 
-/// What the hall's leader tells of a path's engine; `None` if that is not known.
-fn engine_load<'a>(
-    views: Views<'_>,
+/// Load of one engine of a path as reported by its hall's leader; `None` if unknown.
+fn reported_load<'a>(
+    context: RoutingContext<'_>,
     figures: &'a EngineFigures,
     directory: &Directory,
     part: &PathPart,
 ) -> Option<EngineLoad<'a>> {
     let record = directory.get(&part.endpoint)?;
     let kind = figures.accelerator(record.accelerator.as_deref()?)?;
-    views.hall.boards.engine(&record.hall, &record.id, views.now, |news| EngineLoad {
+    context.hall.reports.engine(&record.hall, &record.id, context.now, |news| EngineLoad {
         kind,
         layers: part.layers.len(),
         running: f64::from(news.state.running),
--- a/crates/sillbank_gateway/src/operate.rs
+++ b/crates/sillbank_gateway/src/ops.rs
@@ -1,4 +1,4 @@
-//! What operators and the balancer see: readiness and metrics.
+//! HTTP handlers for the balancer and operators: readiness and metrics.
 
 use crate::gateway::Gateway;
 use crate::store::MetadataStore;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Answers whether the VM is ready.
+/// Reports whether the VM is ready.
 #[derive(Debug)]
 pub struct ReadyHandler<W, S> {
     /// The gateway.
@@ -26,7 +26,7 @@
     }
 }
 
-/// Serves metrics.
+/// Serves the metrics.
 #[derive(Debug)]
 pub struct MetricsHandler<W, S> {
     /// The gateway.
@@ -35,7 +35,7 @@
 
 impl<W: Wire, S: MetadataStore> Handler for MetricsHandler<W, S> {
     async fn handle(&self, _request: Request<Incoming>) -> Response<ReplyBody> {
-        self.gateway.show_demand(Instant::now());
+        self.gateway.update_demand_metrics(Instant::now());
         metrics_reply(self.gateway.metrics.registry())
     }
 }
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -1,13 +1,13 @@
-//! Finds out which engine of a path is lost, and moves the request around it.
+//! Detects lost engines on the path of a running request and moves the request around them.
 
-use crate::doctor::{Diagnosis, Probe, diagnose, probe_path, silence_means_loss};
 use crate::endpoints::Evidence;
 use crate::gateway::Gateway;
 use crate::job::{Job, path_ask};
 use crate::metrics::KindLabel;
-use crate::paths::choose_mended_path;
+use crate::paths::choose_repaired_path;
+use crate::probes::{Diagnosis, Probe, diagnose, probe_path, silence_means_loss};
 use crate::store::MetadataStore;
-use crate::wire::{OrderEnd, Wire};
+use crate::wire::{OrderOutcome, Wire};
 use sillbank_core::prelude::*;
 use sillbank_fleet::prelude::*;
 use sillbank_layers::prelude::*;
@@ -15,181 +15,190 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Silence after which a stream's first endpoint is asked what it waits for. Its report is some 200 ms
-/// old, so it tells of a part that is lost no sooner. Callers give a stream up after two seconds.
+/// Silence after which a stream's first endpoint is asked what the request waits for. Its report is
+/// about 200 ms old, so it cannot name a lost engine sooner. Callers give a stream up after two
+/// seconds.
 const LONG_SILENCE: Duration = Duration::from_millis(450);
-/// Part of the longest pause that keeps a stream in time after which the engines of its path are asked
-/// whether they are there. The rest is for the answers, the move, and reading the tokens anew. Earns 0.02 of
-/// all worth on a fleet of 6 VMs while engines fail, and 0.06 on one of 300.
-const SHORT_SILENCE_PART: f64 = 0.5;
-/// Pauses of the usual length after which they are asked, if that is sooner. Streams on quick engines have an
-/// event each 35 ms: they are asked about after 90 ms, so that there is time left for reading the tokens anew.
-const USUAL_PAUSES: f64 = 2.0;
-/// Added to that: some pauses are longer as engines read the prompts of others.
+/// Share of the route's gap objective after which the engines of the path are probed. The rest is
+/// left for the replies, the move and the recomputation of tokens. Probing this early raises the
+/// total value of served requests by 0.02 on a fleet of 6 VMs while engines fail, and by 0.06 on
+/// one of 300.
+const SHORT_SILENCE_SHARE: f64 = 0.5;
+/// Multiple of the usual pause after which the engines are probed, if that is sooner. Streams on
+/// fast engines have an event every 35 ms and are probed after 90 ms, which leaves time to
+/// recompute tokens.
+const USUAL_PAUSE_FACTOR: f64 = 2.0;
+/// Added to the multiple of the usual pause: some pauses are longer because engines read other
+/// requests' prompts.
 const PAUSE_MARGIN: Duration = Duration::from_millis(20);
-/// Shortest silence after which they are asked.
+/// Minimum silence before the engines are probed.
 const SHORT_SILENCE_MIN: Duration = Duration::from_millis(50);
-/// Part of a new pause in what counts as usual.
-const NEW_PAUSE_PART: f64 = 0.2;
-/// Shorter than this are not pauses but parts of one event, or events that came together.
-const PAUSE_LEAST: Duration = Duration::from_millis(5);
-/// How long an engine may take to move a request to another path.
-const MOVE_LIMIT: Duration = Duration::from_millis(400);
+/// Weight of a new pause in the moving average.
+const PAUSE_WEIGHT: f64 = 0.2;
+/// Shorter intervals are not pauses but parts of one event, or events that arrived together.
+const MIN_PAUSE: Duration = Duration::from_millis(5);
+/// Time limit of a call that moves a request to another path.
+const MOVE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a stream has stood still.
+/// How long a stream has been silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Silence {
-    /// Long enough to ask who of its path is there; how long.
+    /// Long enough to probe the engines of its path; holds the length of the silence.
     Short(Duration),
-    /// Long enough to ask what it waits for.
+    /// Long enough to ask the first endpoint what the request waits for.
     Long,
 }
 
-/// Says when a stream has stood still for so long that somebody should ask why: the silences since it was
-/// last heard of, a short one and then long ones.
+/// Decides when a silent stream is to be checked: after a short silence since its last data, then
+/// after each long one.
 #[derive(Debug)]
 pub struct SilenceTimer {
-    /// Length of a short silence of a stream of which nothing else is known; no shorter than [`LONG_SILENCE`] if
-    /// there is none.
-    longest_first: Duration,
-    /// Usual pause between two events.
+    /// Upper bound of the short silence, used while no usual pause is known. [`LONG_SILENCE`] means
+    /// that there is no short silence.
+    max_short_silence: Duration,
+    /// Moving average of the pauses between two events.
     usual_pause: Option<Duration>,
-    /// How many times longer it is waited because of questions in vain.
-    patience: u32,
+    /// Factor on the short silence; doubled by each false alarm.
+    backoff_factor: u32,
     /// Length of the next short silence.
-    first: Duration,
+    short_silence: Duration,
     next_is_short: bool,
-    /// Time that the stream has stood still already.
-    stood: Duration,
+    /// Part of the long silence that has already passed.
+    silent_for: Duration,
 }
 
 impl SilenceTimer {
-    /// For a stream whose pauses may be so long at most to be in time.
+    /// Creates a timer for a stream whose pauses should be no longer than `gap_objective`.
     pub fn new(gap_objective: Option<Duration>) -> Self {
-        let first = gap_objective.map_or(LONG_SILENCE, |gap| gap.mul_f64(SHORT_SILENCE_PART));
+        let first = gap_objective.map_or(LONG_SILENCE, |gap| gap.mul_f64(SHORT_SILENCE_SHARE));
         let mut timer = Self {
-            longest_first: first.clamp(SHORT_SILENCE_MIN, LONG_SILENCE),
+            max_short_silence: first.clamp(SHORT_SILENCE_MIN, LONG_SILENCE),
             usual_pause: None,
-            patience: 1,
-            first: LONG_SILENCE,
+            backoff_factor: 1,
+            short_silence: LONG_SILENCE,
             next_is_short: false,
-            stood: Duration::ZERO,
+            silent_for: Duration::ZERO,
         };
         timer.begin();
         timer
     }
 
-    /// The stream was heard of, so long after the time before.
-    pub fn on_heard(&mut self, pause: Duration) {
-        if pause >= PAUSE_LEAST {
+    /// Records that data arrived, `pause` after the data before.
+    pub fn on_data(&mut self, pause: Duration) {
+        if pause >= MIN_PAUSE {
             let usual = self.usual_pause.unwrap_or(pause);
-            let usual = usual.mul_f64(1.0 - NEW_PAUSE_PART) + pause.mul_f64(NEW_PAUSE_PART);
+            let usual = usual.mul_f64(1.0 - PAUSE_WEIGHT) + pause.mul_f64(PAUSE_WEIGHT);
             self.usual_pause = Some(usual);
         }
         self.begin();
     }
 
-    /// The stream begins to stand still.
+    /// Starts a new silence.
     fn begin(&mut self) {
-        let by_pauses = self.usual_pause.map(|usual| usual.mul_f64(USUAL_PAUSES) + PAUSE_MARGIN);
-        let first = by_pauses.map_or(self.longest_first, |first| {
-            first.clamp(SHORT_SILENCE_MIN.min(self.longest_first), self.longest_first)
+        let by_pauses =
+            self.usual_pause.map(|usual| usual.mul_f64(USUAL_PAUSE_FACTOR) + PAUSE_MARGIN);
+        let first = by_pauses.map_or(self.max_short_silence, |first| {
+            first.clamp(SHORT_SILENCE_MIN.min(self.max_short_silence), self.max_short_silence)
         });
-        self.first = (first * self.patience).min(LONG_SILENCE);
-        self.stood = Duration::ZERO;
-        self.next_is_short = self.first < LONG_SILENCE;
+        self.short_silence = (first * self.backoff_factor).min(LONG_SILENCE);
+        self.silent_for = Duration::ZERO;
+        self.next_is_short = self.short_silence < LONG_SILENCE;
     }
 
-    /// Nobody was found lost after a short silence: pauses of this stream are long. The next is waited for
-    /// twice as long. Without that, VMs asked engines 140,000 times in a minute of slow engines.
+    /// A check after a short silence found no loss, so this stream's pauses are long: the next
+    /// short silence is twice as long. Without this, VMs probed engines 140,000 times in a minute
+    /// in which engines were slow.
     pub fn on_false_alarm(&mut self) {
-        self.patience = self.patience.saturating_mul(2);
+        self.backoff_factor = self.backoff_factor.saturating_mul(2);
     }
 
-    /// Time until the next silence.
+    /// Time until the next check is due.
     pub fn wait(&self) -> Duration {
         match self.next_is_short {
-            true => self.first,
-            false => LONG_SILENCE.saturating_sub(self.stood),
+            true => self.short_silence,
+            false => LONG_SILENCE.saturating_sub(self.silent_for),
         }
     }
 
-    /// The wait is over; answers how long the stream has stood still.
+    /// The wait is over; returns how long the stream has been silent.
     pub fn on_silence(&mut self) -> Silence {
         let is_short = std::mem::take(&mut self.next_is_short);
-        self.stood = if is_short { self.first } else { Duration::ZERO };
-        if is_short { Silence::Short(self.first) } else { Silence::Long }
+        self.silent_for = if is_short { self.short_silence } else { Duration::ZERO };
+        if is_short { Silence::Short(self.short_silence) } else { Silence::Long }
     }
 }
 
-/// Engines of a path that are lost, and why they are taken for that.
+/// Engines of a path that are lost, and the evidence for it.
 #[derive(Debug)]
 pub(super) struct Loss {
-    /// At least one.
+    /// Never empty.
     pub(super) engines: Vec<EndpointId>,
     pub(super) reason: String,
-    /// Whether the request is given up where it is if it cannot be moved. If not, it may still go on.
+    /// Whether the request is given up at this endpoint if it cannot be moved. If not, it may still
+    /// continue.
     pub(super) is_certain: bool,
 }
 
 impl Loss {
-    fn of(engine: &str, reason: &str) -> Self {
+    fn of_engine(engine: &str, reason: &str) -> Self {
         Self { engines: vec![engine.to_owned()], reason: reason.to_owned(), is_certain: true }
     }
 }
 
-/// The way of a request that runs.
+/// The route of a running request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ActiveRoute<'a> {
     pub(super) endpoint: &'a str,
     pub(super) address: SocketAddr,
     pub(super) path: Option<&'a LayerPath>,
-    /// When it was sent or moved.
+    /// When the request was sent or last moved.
     pub(super) since: Instant,
 }
 
-/// Asks whether endpoints of a path are lost; one that others found lost already counts.
-pub(super) async fn look_for_loss<W: Wire, S: MetadataStore>(
+/// Checks whether engines of the path are lost. Engines that are ejected or have restarted count at
+/// once.
+pub(super) async fn detect_loss<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     active_route: ActiveRoute<'_>,
     silence: Silence,
 ) -> Option<Loss> {
-    let known = active_route
+    let ejected = active_route
         .path
-        .map_or_else(Vec::new, |path| left_alone(gateway, path, active_route.since));
-    if !known.is_empty() {
+        .map_or_else(Vec::new, |path| ejected_or_restarted(gateway, path, active_route.since));
+    if !ejected.is_empty() {
         let reason = "a part of the path is left alone".to_owned();
-        return Some(Loss { engines: known, reason, is_certain: silence == Silence::Long });
+        return Some(Loss { engines: ejected, reason, is_certain: silence == Silence::Long });
     }
     match (silence, active_route.path) {
-        (Silence::Short(stood), Some(path)) => probe_parts(gateway, path, stood).await,
+        (Silence::Short(silent_for), Some(path)) => probe_engines(gateway, path, silent_for).await,
         (Silence::Short(_), None) => None,
-        (Silence::Long, _) => ask_first(gateway, job, active_route).await,
+        (Silence::Long, _) => ask_first_endpoint(gateway, job, active_route).await,
     }
 }
 
-fn left_alone<W: Wire, S: MetadataStore>(
+/// Engines of a path that were ejected or have restarted since a moment.
+fn ejected_or_restarted<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     path: &LayerPath,
     since: Instant,
 ) -> Vec<EndpointId> {
     let is_lost = |part: &&PathPart| {
-        let (id, book) = (&part.endpoint, &gateway.book);
-        book.ejected_since(id, since) || book.renewed_since(id, since)
+        let (id, book) = (&part.endpoint, &gateway.endpoint_tracker);
+        book.ejected_since(id, since) || book.restarted_since(id, since)
     };
     path.parts().iter().filter(is_lost).map(|part| part.endpoint.clone()).collect()
 }
 
-/// Asks all engines of a path whether they are there. One that leaves takes no calls any more but ends
-/// what it has.
-async fn probe_parts<W: Wire, S: MetadataStore>(
+/// Probes all engines of a path. An engine that is leaving accepts no calls but finishes its
+/// requests, so its silence does not count.
+async fn probe_engines<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     path: &LayerPath,
-    stood: Duration,
+    silent_for: Duration,
 ) -> Option<Loss> {
     let began = Instant::now();
-    let mut lost = probe_path(gateway, path, stood).await;
+    let mut lost = probe_path(gateway, path, silent_for).await;
     lost.retain(|(id, _)| silence_means_loss(standing(gateway, id)));
     if lost.is_empty() {
         return None;
@@ -204,7 +213,7 @@
 }
 
 /// Asks the first endpoint what the request waits for.
-async fn ask_first<W: Wire, S: MetadataStore>(
+async fn ask_first_endpoint<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
     active_route: ActiveRoute<'_>,
@@ -216,18 +225,19 @@
         Diagnosis::Silent(_) if !silence_means_loss(standing(gateway, first)) => None,
         Diagnosis::Silent(reason) => {
             gateway.on_evidence(first, Evidence::Unreachable, began, &reason);
-            Some(Loss::of(first, &reason))
+            Some(Loss::of_engine(first, &reason))
         }
         Diagnosis::WaitsFor(address) => {
             let part = active_route.path.and_then(|path| path.part_at(address))?;
             let reason = "the first endpoint waits for it";
             gateway.on_evidence(&part.endpoint, Evidence::Unreachable, began, reason);
-            Some(Loss::of(&part.endpoint, reason))
+            Some(Loss::of_engine(&part.endpoint, reason))
         }
     }
 }
 
-/// Moves a request to a path on which others run the lost parts; answers the path if that was taken.
+/// Moves a request to a path on which other engines run the lost parts. Returns the new path if the
+/// first endpoint accepted it.
 pub(super) async fn move_request<W: Wire, S: MetadataStore>(
     gateway: &Rc<Gateway<W, S>>,
     job: &Rc<Job>,
@@ -237,34 +247,34 @@
     if !gateway.settings().mechanisms.moves {
         return None;
     }
-    let mended = mended_path(gateway, job, active_route.path?, &loss.engines)?;
-    let call = W::move_call(&job.head.request_id, &mended);
-    let ended = gateway.engine_calls.call(active_route.address, call, MOVE_LIMIT).await;
-    let end = match &ended {
-        Ok(reply) => W::read_order_end(reply.status),
-        Err(_) => OrderEnd::Refused,
+    let repaired = repaired_path(gateway, job, active_route.path?, &loss.engines)?;
+    let call = W::move_call(&job.head.request_id, &repaired);
+    let reply = gateway.engine_calls.call(active_route.address, call, MOVE_TIMEOUT).await;
+    let outcome = match &reply {
+        Ok(reply) => W::read_order_outcome(reply.status),
+        Err(_) => OrderOutcome::Refused,
     };
-    let is_moved = matches!(end, OrderEnd::Begun | OrderEnd::Done);
-    gateway.metrics.moves.get_or_create(&KindLabel { kind: end.name() }).inc();
-    let stamp = gateway.knowledge.stamp(Instant::now());
-    gateway.decisions.moved(job, &loss.engines, &mended, end, stamp);
-    is_moved.then_some(mended)
+    let is_moved = matches!(outcome, OrderOutcome::Started | OrderOutcome::Done);
+    gateway.metrics.moves.get_or_create(&KindLabel { kind: outcome.name() }).inc();
+    let stamp = gateway.platform.stamp(Instant::now());
+    gateway.decisions.moved(job, &loss.engines, &repaired, outcome, stamp);
+    is_moved.then_some(repaired)
 }
 
-/// The path with each lost part run by others.
-fn mended_path<W: Wire, S: MetadataStore>(
+/// Returns the path with each lost part given to other engines.
+fn repaired_path<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
     path: &LayerPath,
     lost: &[EndpointId],
 ) -> Option<LayerPath> {
     let figures = job.service.engine.as_ref()?;
-    let home = gateway.settings().hall.clone();
-    let views = gateway.views(Instant::now());
-    let ask = path_ask(job, figures, &home, lost);
-    lost.iter().try_fold(path.clone(), |path, lost| choose_mended_path(views, ask, &path, lost))
+    let local_hall = gateway.settings().hall.clone();
+    let context = gateway.routing_context(Instant::now());
+    let ask = path_ask(job, figures, &local_hall, lost);
+    lost.iter().try_fold(path.clone(), |path, lost| choose_repaired_path(context, ask, &path, lost))
 }
 
 fn standing<W: Wire, S: MetadataStore>(gateway: &Gateway<W, S>, id: &str) -> Option<Standing> {
-    gateway.knowledge.endpoints(|directory| directory.get(id).map(|record| record.standing))
+    gateway.platform.endpoints(|directory| directory.get(id).map(|record| record.standing))
 }
--- a/crates/sillbank_gateway/src/streams/target.rs
+++ b/crates/sillbank_gateway/src/streams/target.rs
@@ -1,9 +1,10 @@
-//! Chooses where a stream's request goes.
+//! Chooses the endpoint or path that a stream's request is sent to.
 
 use crate::gateway::Gateway;
 use crate::job::{Job, path_ask};
 use crate::paths::{
-    PathAsk, choose_any_path, choose_path, first_engines, has_withheld_path, risked_engine,
+    PathRequest, choose_any_path, choose_path, first_engines, has_path_despite_pushback,
+    isolation_engine,
 };
 use crate::store::MetadataStore;
 use crate::wire::{EventNumber, Wire};
@@ -12,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Where a stream's request goes.
+/// Where a stream's request is sent.
 pub(super) struct Target {
     pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
@@ -22,14 +23,15 @@
 /// Why a request cannot be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NoTarget {
-    /// Some layers are held by no engine that can be used.
+    /// No usable engine holds some of the layers.
     NoPath,
     /// There is a path, but some of its engines have no room.
     NoRoom,
-    /// There is a path, but the endpoints that it could begin at asked for fewer requests.
+    /// There is a path, but the endpoints that it could start at asked for fewer requests.
     Withheld,
-    /// The only endpoint that it could begin at is not risked for it, for so long.
-    KeptApart(Duration),
+    /// The request is isolated, as it may crash endpoints, and no endpoint that the path could start
+    /// at is left for it. It stays isolated for this long.
+    Isolated(Duration),
 }
 
 impl NoTarget {
@@ -37,13 +39,14 @@
         match self {
             Self::NoPath => "no path covers the model",
             Self::NoRoom => "no path has room",
-            Self::KeptApart(_) => "an endpoint ended under it, and the only one left is not risked",
+            Self::Isolated(_) => "an endpoint ended under it, and the only one left is not risked",
             Self::Withheld => "the endpoints that could take it asked for fewer requests",
         }
     }
 }
 
-/// The target of a request. One that was begun goes on also where room is short: it has more to lose.
+/// Chooses the target of a request. One that has already started is sent even where room is short,
+/// as more work would be lost.
 pub(super) fn choose_target<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
@@ -51,65 +54,70 @@
     avoid: &[EndpointId],
 ) -> Result<Target, NoTarget> {
     let now = Instant::now();
-    let home = gateway.settings().hall.clone();
+    let local_hall = gateway.settings().hall.clone();
     let Some(figures) = &job.service.engine else {
         return choose_endpoint(gateway, job, avoid, now);
     };
-    let views = gateway.views(now);
-    let ask = path_ask(job, figures, &home, avoid);
+    let context = gateway.routing_context(now);
+    let ask = path_ask(job, figures, &local_hall, avoid);
     let mut avoid = avoid.to_vec();
-    if let Some(left) = gateway.kept_apart_for(job) {
-        let mut firsts = first_engines(views, ask);
-        // What it has tried counts again once it has started again.
-        let is_back = |first: &str| gateway.book.renewed_since(first, job.began);
-        firsts.retain(|first| !avoid.contains(first) || is_back(first));
-        let Some(risked) = risked_engine(&firsts, &avoid) else {
-            return Err(NoTarget::KeptApart(left));
+    if let Some(remaining) = gateway.isolated_for(job) {
+        let mut candidates = first_engines(context, ask);
+        // An endpoint that the request has tried counts again once it has restarted.
+        let has_restarted =
+            |first: &str| gateway.endpoint_tracker.restarted_since(first, job.received_at);
+        candidates.retain(|first| !avoid.contains(first) || has_restarted(first));
+        let Some(chosen) = isolation_engine(&candidates, &avoid) else {
+            return Err(NoTarget::Isolated(remaining));
         };
-        avoid.extend(firsts.iter().filter(|first| *first != risked).cloned());
+        avoid.extend(candidates.iter().filter(|first| *first != chosen).cloned());
     }
-    let ask = PathAsk { avoid: &avoid, ..ask };
-    if let Some(path) = choose_path(views, ask) {
-        if views.mechanisms.forecasts {
-            job.foretold.get_or_init(|| gateway.forecasts.foretell(views, ask, &path));
+    let ask = PathRequest { avoid: &avoid, ..ask };
+    if let Some(path) = choose_path(context, ask) {
+        if context.mechanisms.forecasts {
+            job.forecast.get_or_init(|| gateway.forecasts.predict(context, ask, &path));
         }
-        return Ok(Target::on(path));
+        return Ok(Target::from_path(path));
     }
-    match choose_any_path(views, ask) {
-        Some(path) if resume_after.is_some() => Ok(Target::on(path)),
+    match choose_any_path(context, ask) {
+        Some(path) if resume_after.is_some() => Ok(Target::from_path(path)),
         Some(_) => Err(NoTarget::NoRoom),
-        None if has_withheld_path(views, ask) => Err(NoTarget::Withheld),
+        None if has_path_despite_pushback(context, ask) => Err(NoTarget::Withheld),
         None => Err(NoTarget::NoPath),
     }
 }
 
 impl Target {
-    fn on(path: LayerPath) -> Self {
+    fn from_path(path: LayerPath) -> Self {
         let first = path.first();
         Self { endpoint: first.endpoint.clone(), address: first.address, path: Some(path) }
     }
 }
 
-/// The endpoint of a service without layers that has the least in flight.
+/// Chooses the endpoint with the fewest requests in flight, for a service without layers.
 fn choose_endpoint<W: Wire, S: MetadataStore>(
     gateway: &Gateway<W, S>,
     job: &Job,
     avoid: &[EndpointId],
     now: Instant,
 ) -> Result<Target, NoTarget> {
-    let home = gateway.settings().hall.clone();
-    let views = gateway.views(now);
-    gateway.knowledge.endpoints(|directory| {
+    let local_hall = gateway.settings().hall.clone();
+    let context = gateway.routing_context(now);
+    gateway.platform.endpoints(|directory| {
         let usable = directory.usable_of(&job.service.name);
-        let fits = usable.filter(|r| !avoid.contains(&r.id) && gateway.book.takes_work(&r.id, now));
-        let fits: Vec<_> = fits.collect();
-        let may_send = fits.iter().filter(|r| views.may_send(&r.id));
-        let best = may_send.min_by_key(|r| (gateway.book.in_flight(&r.id), r.hall != home));
+        let available = usable.filter(|record| {
+            !avoid.contains(&record.id) && gateway.endpoint_tracker.accepts_work(&record.id, now)
+        });
+        let available: Vec<_> = available.collect();
+        let may_send = available.iter().filter(|record| context.may_send(&record.id));
+        let best = may_send.min_by_key(|record| {
+            (gateway.endpoint_tracker.in_flight(&record.id), record.hall != local_hall)
+        });
         match best {
             Some(best) => {
                 Ok(Target { endpoint: best.id.clone(), address: best.address, path: None })
             }
-            None if fits.is_empty() => Err(NoTarget::NoPath),
+            None if available.is_empty() => Err(NoTarget::NoPath),
             None => Err(NoTarget::Withheld),
         }
     })
