--- a/crates/sillbank_gateway/src/endpoints.rs
+++ b/crates/sillbank_gateway/src/endpoints.rs
@@ -21,8 +21,11 @@
 /// their requests on the known deployments.
 const EJECTION_FAILURE_SHARE: f64 = 0.4;
 
-const LIMITS: HealthLimits =
-    HealthLimits { eject: BASE_EJECTION, eject_max: MAX_EJECTION, slow_start: SLOW_START };
+const LIMITS: HealthLimits = HealthLimits {
+    base_ejection: BASE_EJECTION,
+    max_ejection: MAX_EJECTION,
+    slow_start: SLOW_START,
+};
 
 /// How long an engine that refused its part of a path is avoided where there is another. Its entry
 /// shows what it holds now after about this time.
@@ -247,7 +250,7 @@
                 Evidence::RefusedPart => state.avoided_until = Some(now + REFUSAL_AVOIDANCE),
                 Evidence::Unreachable => state.health.on_event(now, HealthEvent::Failure),
             }
-            state.health.on_time(now, &LIMITS);
+            state.health.on_tick(now, &LIMITS);
             let is_ejected = state.health.state() == HealthState::Ejected;
             state.ejected_at = is_ejected.then(|| state.ejected_at.unwrap_or(now));
             before != state.health.state()
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -71,13 +71,13 @@
     pub hall: Hall,
     /// Health of endpoints and work in flight, as this VM observes them.
     pub endpoint_tracker: Rc<EndpointTracker>,
-    /// Endpoints that ended while they ran a request.
+    /// Endpoints that crashed while they ran a request.
     pub crashed_endpoints: CrashedEndpoints,
     /// Rate limits and pauses that endpoints asked for in their answers.
     pub pushback: RefCell<PushbackTracker>,
     /// Rate leases that this VM grants while it leads.
     pub rate_leases: RateLeases,
-    /// Requests during which endpoints ended.
+    /// Requests during which endpoints crashed.
     pub quarantine: RefCell<Quarantine>,
     /// Whether the quarantine list was received from a leader or read from the store since the
     /// start.
@@ -103,7 +103,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Bytes buffered for callers and endpoints.
-    pub kept: KeptBytes,
+    pub memory_budget: MemoryBudget,
     /// How near this VM is to its own limits.
     pub limits: RefCell<LimitMeter>,
     /// Runs tasks.
@@ -113,36 +113,36 @@
     /// Random number that distinguishes this process from earlier ones on the same VM.
     pub incarnation: Incarnation,
     /// Source of randomness for all decisions.
-    pub chance: Chance,
+    pub rng: SharedRng,
     /// Number of requests in progress.
     pub in_progress: Cell<u64>,
     store_reached: Cell<bool>,
     /// Retry budgets by service.
     pub(crate) budgets: RefCell<HashMap<ServiceId, RetryBudget>>,
-    began: Instant,
+    started_at: Instant,
     wire: PhantomData<W>,
 }
 
 impl<W: Wire, S> Gateway<W, S> {
     /// Creates a gateway with an empty view of the platform. All random decisions draw from
-    /// `chance`.
+    /// `rng`.
     pub fn new(
         settings: GatewaySettings,
         store: S,
         engine_calls: HttpClient,
         executor: Rc<LocalExecutor<'static>>,
-        chance: Chance,
+        rng: SharedRng,
     ) -> Self {
         let metrics = Metrics::default();
-        let (incarnation, began) = (chance.number(), Instant::now());
+        let (incarnation, started_at) = (rng.next_u64(), Instant::now());
         Self {
             platform: PlatformView::new(settings.key_revocation),
-            kept: KeptBytes::new(settings.buffer_limit_bytes()),
+            memory_budget: MemoryBudget::new(settings.buffer_limit_bytes()),
             settings: RefCell::new(Rc::new(settings)),
             store: CountedStore::new(store, metrics.store_calls.clone()),
             unreadable: UnreadableEntries::default(),
             limits: RefCell::default(),
-            hall: Hall::new(chance.clone()),
+            hall: Hall::new(rng.clone()),
             endpoint_tracker: Rc::default(),
             crashed_endpoints: CrashedEndpoints::default(),
             pushback: RefCell::default(),
@@ -154,7 +154,7 @@
             forecasts: Forecasts::default(),
             stream_activity: Rc::default(),
             load: FleetLoad::default(),
-            demand: DemandTracker::new(incarnation, began),
+            demand: DemandTracker::new(incarnation, started_at),
             connection_pool: ConnectionPool::new(executor.clone()),
             engine_calls,
             decisions: DecisionLog::default(),
@@ -162,11 +162,11 @@
             executor,
             lifecycle: Cell::new(LifecycleState::Serving),
             incarnation,
-            chance,
+            rng,
             in_progress: Cell::new(0),
             store_reached: Cell::new(true),
             budgets: RefCell::default(),
-            began,
+            started_at,
             wire: PhantomData,
         }
     }
@@ -191,7 +191,7 @@
             endpoint_tracker: &self.endpoint_tracker,
             pushback: &self.pushback,
             mechanisms,
-            chance: &self.chance,
+            rng: &self.rng,
             now,
         }
     }
@@ -223,13 +223,13 @@
     }
 
     /// When the process started.
-    pub fn began(&self) -> Instant {
-        self.began
+    pub fn started_at(&self) -> Instant {
+        self.started_at
     }
 
     /// Time since the process started.
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.began)
+        now.saturating_duration_since(self.started_at)
     }
 
     /// Whether the quarantine list was loaded, or the startup wait for it is over.
@@ -331,12 +331,18 @@
         self.store_reached.get()
     }
 
-    /// Applies evidence of an endpoint's health from an exchange that began at `began`, and logs
-    /// when the endpoint is ejected or used again. Evidence from before the endpoint's last restart
-    /// is ignored.
-    pub fn on_evidence(&self, endpoint: &str, evidence: Evidence, began: Instant, reason: &str) {
+    /// Applies evidence of an endpoint's health from an exchange that started at `started_at`, and
+    /// logs when the endpoint is ejected or used again. Evidence from before the endpoint's last
+    /// restart is ignored.
+    pub fn on_evidence(
+        &self,
+        endpoint: &str,
+        evidence: Evidence,
+        started_at: Instant,
+        reason: &str,
+    ) {
         let now = Instant::now();
-        if self.endpoint_tracker.restarted_since(endpoint, began) {
+        if self.endpoint_tracker.restarted_since(endpoint, started_at) {
             return;
         }
         if !self.endpoint_tracker.on_evidence(endpoint, evidence, now) {
--- a/crates/sillbank_gateway/src/hall.rs
+++ b/crates/sillbank_gateway/src/hall.rs
@@ -49,7 +49,7 @@
 /// A VM of this hall that follows this leader.
 #[derive(Debug, Clone, Copy)]
 struct Follower {
-    at: Instant,
+    last_request: Instant,
     peer: SocketAddr,
     leader_score: LeaderScore,
     /// When its configuration was last confirmed, as it reported on arrival of its request. Only a
@@ -82,7 +82,7 @@
     other_leaders: RefCell<BTreeMap<HallId, OtherLeader>>,
     /// Reports of all halls.
     pub reports: HallReports,
-    chance: Chance,
+    rng: SharedRng,
     followers: RefCell<BTreeMap<VmId, Follower>>,
     /// Leader named by the previous leader; takes precedence over the lease as read.
     redirect: Cell<Option<SocketAddr>>,
@@ -101,8 +101,8 @@
 }
 
 impl Hall {
-    /// Creates an empty state. The stagger of this VM's calls to the store is drawn from `chance`.
-    pub fn new(chance: Chance) -> Self {
+    /// Creates an empty state. The stagger of this VM's calls to the store is drawn from `rng`.
+    pub fn new(rng: SharedRng) -> Self {
         Self {
             reported_vms: Cell::default(),
             lease_fence: Cell::default(),
@@ -113,7 +113,7 @@
             leader_holds_lease: Cell::default(),
             other_leaders: RefCell::default(),
             reports: HallReports::default(),
-            chance,
+            rng,
             followers: RefCell::default(),
             redirect: Cell::default(),
             is_nominated: Cell::default(),
@@ -131,7 +131,7 @@
         self.last_update.set(Some(now));
         if self.confirmed.replace(confirmed) != confirmed {
             // The square root makes early calls rare, so that few VMs of a hall make them.
-            self.stagger.set(self.chance.fraction().sqrt());
+            self.stagger.set(self.rng.next_f64().sqrt());
         }
         self.leader_holds_lease.set(holds_lease);
     }
@@ -214,7 +214,7 @@
         now: Instant,
     ) -> u32 {
         let confirmed = confirmed_age.and_then(|age| now.checked_sub(age));
-        let follower = Follower { at: now, peer, leader_score, confirmed };
+        let follower = Follower { last_request: now, peer, leader_score, confirmed };
         if self.followers.borrow_mut().insert(vm.to_owned(), follower).is_none() {
             tracing::info!(vm, %peer, "feed: A VM asks this leader.");
         }
@@ -224,8 +224,9 @@
     /// Followers with a recent request, and this VM.
     pub fn live_vms(&self, now: Instant) -> u32 {
         let mut followers = self.followers.borrow_mut();
-        followers
-            .retain(|_, follower| now.saturating_duration_since(follower.at) < FOLLOWER_TIMEOUT);
+        followers.retain(|_, follower| {
+            now.saturating_duration_since(follower.last_request) < FOLLOWER_TIMEOUT
+        });
         followers.len() as u32 + 1
     }
 
@@ -260,13 +261,14 @@
     /// Among equals one is drawn at random.
     pub fn best_follower(&self, now: Instant, least: LeaderScore) -> Option<(VmId, SocketAddr)> {
         let followers = self.followers.borrow();
-        let is_here =
-            |follower: &Follower| now.saturating_duration_since(follower.at) < LEADER_TIMEOUT;
+        let is_here = |follower: &Follower| {
+            now.saturating_duration_since(follower.last_request) < LEADER_TIMEOUT
+        };
         let is_fit =
             |follower: &Follower| follower.leader_score > 0.0 && follower.leader_score >= least;
         let fit = followers.iter().filter(|(_, follower)| is_here(follower) && is_fit(follower));
         let drawn = fit
-            .map(|(vm, follower)| (follower.leader_score, self.chance.number(), vm, follower.peer));
+            .map(|(vm, follower)| (follower.leader_score, self.rng.next_u64(), vm, follower.peer));
         let strongest = drawn.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
         Some((strongest.2.clone(), strongest.3))
     }
@@ -274,8 +276,9 @@
     /// The follower whose configuration was confirmed last, if that was after `since`.
     pub fn freshest_follower(&self, now: Instant, since: Instant) -> Option<SocketAddr> {
         let followers = self.followers.borrow();
-        let is_here =
-            |follower: &&Follower| now.saturating_duration_since(follower.at) < LEADER_TIMEOUT;
+        let is_here = |follower: &&Follower| {
+            now.saturating_duration_since(follower.last_request) < LEADER_TIMEOUT
+        };
         let fresher =
             followers.values().filter(is_here).filter(|follower| follower.confirmed > Some(since));
         fresher
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -42,7 +42,7 @@
     /// The complete body.
     pub body: Bytes,
     /// Memory budget taken by the body.
-    pub memory: KeptShare,
+    pub memory: MemoryReservation,
     /// Route that the request matched.
     pub route: Rc<Route>,
     /// Service chosen by the route.
@@ -116,7 +116,7 @@
         resume_after: Option<u64>,
         now: Instant,
     ) -> Request<ReplyBody> {
-        let mut request = Request::new(ReplyBody::Whole(Full::new(self.body.clone())));
+        let mut request = Request::new(ReplyBody::Full(Full::new(self.body.clone())));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         let mut headers = self.headers.clone();
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 pub struct FleetLoad {
     services: RefCell<HashMap<ServiceId, ServiceLoad>>,
-    usual_times: RefCell<HashMap<RouteName, ElapsedEstimator>>,
+    elapsed_times: RefCell<HashMap<RouteName, ElapsedEstimator>>,
 }
 
 #[derive(Debug, Default)]
@@ -137,15 +137,15 @@
         let Some(left) = request.left else {
             return false;
         };
-        let mut usual_times = self.usual_times.borrow_mut();
-        if usual_times.len() >= MAX_ROUTES && !usual_times.contains_key(&request.route.name) {
-            usual_times.clear();
+        let mut elapsed_times = self.elapsed_times.borrow_mut();
+        if elapsed_times.len() >= MAX_ROUTES && !elapsed_times.contains_key(&request.route.name) {
+            elapsed_times.clear();
         }
-        let usual = usual_times.entry(request.route.name.clone()).or_default();
+        let estimator = elapsed_times.entry(request.route.name.clone()).or_default();
         if is_calm {
-            usual.record_first_try(left);
+            estimator.record_first_try(left);
         }
-        usual.elapsed(left) > request.route.objective
+        estimator.elapsed(left) > request.route.objective
     }
 }
 
@@ -204,13 +204,13 @@
     context.platform.endpoints(|directory| {
         for record in directory.usable_of(&service.name) {
             let newest_incarnation = directory.newest_incarnation(&record.id);
-            if let Some(room) = engine_capacity(context, record, newest_incarnation, figures) {
-                by_hall.entry(record.hall.clone()).or_default().push(room);
+            if let Some(capacity) = engine_capacity(context, record, newest_incarnation, figures) {
+                by_hall.entry(record.hall.clone()).or_default().push(capacity);
             }
         }
     });
-    let rooms = by_hall.values().map(|engines| HallCapacity::of(engines, figures.layers));
-    rooms.fold(HallCapacity::default(), HallCapacity::plus)
+    let capacities = by_hall.values().map(|engines| HallCapacity::of(engines, figures.layers));
+    capacities.fold(HallCapacity::default(), HallCapacity::plus)
 }
 
 /// Capacity of an engine; `None` if its leader does not report it or reports an earlier
--- a/crates/sillbank_gateway/src/platform_view.rs
+++ b/crates/sillbank_gateway/src/platform_view.rs
@@ -5,7 +5,7 @@
 use crate::store::Snapshot;
 use sillbank_catalog::prelude::*;
 use sillbank_core::prelude::*;
-use sillbank_core::suspension::SuspensionWatch;
+use sillbank_core::suspension::SuspensionDetector;
 use sillbank_fleet::prelude::*;
 use sillbank_net::clocks::read_clocks;
 use std::cell::{Cell, RefCell};
@@ -42,7 +42,7 @@
     catalog_at: Cell<Revision>,
     /// Newest known era of the store.
     era: Cell<Option<Era>>,
-    /// When a restore of the store from a backup was last detected.
+    /// When a restore of the store from a copy was last detected.
     restored_at: Cell<Option<Instant>>,
     endpoints_at: Cell<Revision>,
     change_count: Cell<u64>,
@@ -55,7 +55,7 @@
     /// How often the store was found to be back or restored.
     store_recoveries: Cell<u64>,
     store_wakers: RefCell<Vec<Waker>>,
-    suspension: RefCell<SuspensionWatch>,
+    suspension: RefCell<SuspensionDetector>,
     /// When a suspension of the machine was last detected.
     resumed_at: Cell<Option<Instant>>,
 }
@@ -79,7 +79,7 @@
             confirmation_wakers: RefCell::default(),
             store_recoveries: Cell::new(0),
             store_wakers: RefCell::default(),
-            suspension: RefCell::new(SuspensionWatch::new(read_clocks())),
+            suspension: RefCell::new(SuspensionDetector::new(read_clocks())),
             resumed_at: Cell::new(None),
         }
     }
@@ -131,7 +131,7 @@
     }
 
     /// Records a confirmation by the store itself, as [`Self::confirm_catalog`] does. It is ignored
-    /// shortly after a restore from a backup, as the operator may not have written the newest
+    /// shortly after a restore from a copy, as the operator may not have written the newest
     /// configuration again yet.
     pub fn confirm_catalog_by_store(&self, confirmed: Instant, at: Revision) {
         self.check_era(at);
@@ -144,7 +144,7 @@
         self.confirm_catalog(confirmed, at);
     }
 
-    /// Detects a restore of the store from a backup. The first known era is no restore.
+    /// Detects a restore of the store from a copy. The first known era is no restore.
     fn check_era(&self, at: Revision) {
         let before = self.era.get();
         if before.is_some_and(|before| at.era > before) {
--- a/crates/sillbank_gateway/tests/hall.rs
+++ b/crates/sillbank_gateway/tests/hall.rs
@@ -1,6 +1,6 @@
 //! Leader, followers and hall reports: for how long they are used.
 
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_gateway::feed::{EngineState, HallReport};
 use sillbank_gateway::freshness::Freshness;
 use sillbank_gateway::hall::{Hall, HallVms};
@@ -42,7 +42,7 @@
 
 /// A hall of which nothing is known yet.
 fn unknown_hall() -> Hall {
-    Hall::new(Chance::with_seed(SEED))
+    Hall::new(SharedRng::with_seed(SEED))
 }
 
 /// Bounds with a maximum staleness above one second.
@@ -267,7 +267,7 @@
 
 /// The follower chosen among equals that sent requests in this order.
 fn drawn_successor(seed: u64, vms: [u8; 3]) -> Option<std::net::SocketAddr> {
-    let (hall, now) = (Hall::new(Chance::with_seed(seed)), Instant::now());
+    let (hall, now) = (Hall::new(SharedRng::with_seed(seed)), Instant::now());
     for number in vms {
         hall.on_follower(&number.to_string(), peer(number), 5.0, None, now);
     }
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -6,8 +6,8 @@
 use engines::{LAYERS, SLOTS, service};
 use sillbank_admission::shedding::Priority;
 use sillbank_catalog::prelude::*;
-use sillbank_core::chance::Chance;
 use sillbank_core::prelude::*;
+use sillbank_core::rng::SharedRng;
 use sillbank_fleet::prelude::*;
 use sillbank_gateway::endpoints::EndpointTracker;
 use sillbank_gateway::feed::{EngineState, HallReport};
@@ -74,7 +74,7 @@
 struct Vm {
     platform: PlatformView,
     hall: Hall,
-    chance: Chance,
+    rng: SharedRng,
     endpoint_tracker: EndpointTracker,
     pushback: RefCell<PushbackTracker>,
     load: FleetLoad,
@@ -92,8 +92,8 @@
         platform.apply_listing(start, Snapshot { at: Revision::new(1, 1), value });
         Self {
             platform,
-            hall: Hall::new(Chance::with_seed(1)),
-            chance: Chance::with_seed(1),
+            hall: Hall::new(SharedRng::with_seed(1)),
+            rng: SharedRng::with_seed(1),
             endpoint_tracker: EndpointTracker::default(),
             pushback: RefCell::default(),
             load: FleetLoad::default(),
@@ -107,14 +107,14 @@
         let (platform, hall, endpoint_tracker) =
             (&self.platform, &self.hall, &self.endpoint_tracker);
         let mechanisms = Mechanisms::default();
-        let (chance, now) = (&self.chance, self.start + after);
+        let (rng, now) = (&self.rng, self.start + after);
         RoutingContext {
             platform,
             hall,
             endpoint_tracker,
             pushback: &self.pushback,
             mechanisms,
-            chance,
+            rng,
             now,
         }
     }
--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet of VMs that follow the store and each other by the gateway's own rules, in
 //! steps of 10 ms.
 
-use sillbank_core::chance::Chance;
+use sillbank_core::rng::SharedRng;
 use sillbank_gateway::backoff::{Backoff, Pause};
 use sillbank_gateway::freshness::{
     Freshness, LONG_POLL_WAIT, SOURCE_CHECK_INTERVAL, confirmed_by_watch,
@@ -74,8 +74,8 @@
     vms: Vec<Vm>,
     vms_a_hall: usize,
     freshness: Freshness,
-    chance: Chance,
-    began: Instant,
+    rng: SharedRng,
+    started_at: Instant,
     now: Instant,
     calls_when_settled: Vec<u64>,
 }
@@ -95,32 +95,32 @@
 
 impl Fleet {
     /// Creates `halls` halls of `vms` VMs each, all just confirmed; the first VM of each leads. All
-    /// of them draw random numbers from `chance`.
-    pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, chance: Chance) -> Self {
-        let began = Instant::now();
+    /// of them draw random numbers from `rng`.
+    pub(crate) fn new(halls: usize, vms: usize, freshness: Freshness, rng: SharedRng) -> Self {
+        let started_at = Instant::now();
         let new = |at: usize| {
             let position =
                 VmPosition { hall: at / vms, number: at % vms, is_leader: at.is_multiple_of(vms) };
-            let hall = Hall::new(chance.clone());
+            let hall = Hall::new(rng.clone());
             hall.record_hall_vms(vms as u32);
             match position.is_leader {
                 true => hall.acting_fence.set(Some(Revision::new(1, 1))),
-                false => hall.on_leader_update(began, Some(began), true),
+                false => hall.on_leader_update(started_at, Some(started_at), true),
             }
             Vm {
                 position,
                 hall,
                 response: StoreResponse::Answer,
-                confirmed: began,
+                confirmed: started_at,
                 store_is_reached: true,
-                following: Following::Resting(began),
+                following: Following::Resting(started_at),
                 relied_on_leader: false,
                 has_failed: false,
                 backoff: Backoff::default(),
                 calls: 0,
-                asked: began,
+                asked: started_at,
                 source: None,
-                other_asked: began,
+                other_asked: started_at,
             }
         };
         let vms_of_all: Vec<Vm> = (0..halls * vms).map(new).collect();
@@ -129,9 +129,9 @@
             vms: vms_of_all,
             vms_a_hall: vms,
             freshness,
-            chance,
-            began,
-            now: began,
+            rng,
+            started_at,
+            now: started_at,
             calls_when_settled,
         }
     }
@@ -151,7 +151,7 @@
     /// Runs for `for_ms` and calls `inspect` after each step.
     pub(crate) fn run(&mut self, for_ms: u64, mut inspect: impl FnMut(&Self)) {
         let end = self.now + Duration::from_millis(for_ms);
-        if self.now != self.began {
+        if self.now != self.started_at {
             self.calls_when_settled = self.vms.iter().map(|vm| vm.calls).collect();
         }
         while self.now < end {
@@ -255,7 +255,7 @@
                     vm.following = Following::Resting(now);
                 } else {
                     vm.following =
-                        Following::Pausing(vm.backoff.next_pause(now, self.chance.fraction()));
+                        Following::Pausing(vm.backoff.next_pause(now, self.rng.next_f64()));
                 }
             }
             Following::Pausing(pause) => {
--- a/crates/sillbank_once/tests/once.rs
+++ b/crates/sillbank_once/tests/once.rs
@@ -1,7 +1,7 @@
 //! Claims and keys: a key is granted at most once, whichever VM holds its slot.
 
 use sillbank_core::prelude::*;
-use sillbank_once::{CallKey, ClaimAnswer, ClaimEnd, Claims, mint, slot_names};
+use sillbank_once::{CallKey, ClaimAnswer, ClaimState, Claims, mint, slot_names};
 use sillbank_protocol::gossip::SealKey;
 use sillbank_testing::for_fixed_seeds;
 use std::collections::HashMap;
@@ -24,8 +24,8 @@
     let afterwards = claims.claim(3000, uid(1), None, 9, RETENTION);
 
     assert_eq!(first, ClaimAnswer::Granted(7));
-    assert_eq!(while_open, ClaimAnswer::Taken(ClaimEnd::Open));
-    assert_eq!(afterwards, ClaimAnswer::Taken(ClaimEnd::Ran));
+    assert_eq!(while_open, ClaimAnswer::Taken(ClaimState::Open));
+    assert_eq!(afterwards, ClaimAnswer::Taken(ClaimState::Ran));
 }
 
 /// The end of a call that was not run frees the key, unless it belongs to another claim.
@@ -39,7 +39,7 @@
     claims.end(uid(1), 7, RunState::NotRun);
     let freed = claims.claim(1002, uid(1), None, 9, RETENTION);
 
-    assert_eq!(still, ClaimAnswer::Taken(ClaimEnd::Open));
+    assert_eq!(still, ClaimAnswer::Taken(ClaimState::Open));
     assert_eq!(freed, ClaimAnswer::Granted(9));
 }
 
@@ -55,9 +55,9 @@
     let minted_after = claims.claim(1_010_000, uid(4), Some(1_006_000), 4, RETENTION);
     let later = claims.claim(1_600_001, uid(1), None, 5, RETENTION);
 
-    assert_eq!(own_key, ClaimAnswer::CannotKnow { wait_ms: 590_000 });
-    assert!(matches!(minted_before, ClaimAnswer::CannotKnow { .. }));
-    assert!(matches!(minted_within_clock_skew, ClaimAnswer::CannotKnow { .. }));
+    assert_eq!(own_key, ClaimAnswer::Undetermined { wait_ms: 590_000 });
+    assert!(matches!(minted_before, ClaimAnswer::Undetermined { .. }));
+    assert!(matches!(minted_within_clock_skew, ClaimAnswer::Undetermined { .. }));
     assert_eq!(minted_after, ClaimAnswer::Granted(4));
     assert_eq!(later, ClaimAnswer::Granted(5));
 }
@@ -69,7 +69,7 @@
 
     let old = claims.claim(10_000_000, uid(1), Some(9_000_000), 1, RETENTION);
 
-    assert!(matches!(old, ClaimAnswer::CannotKnow { .. }));
+    assert!(matches!(old, ClaimAnswer::Undetermined { .. }));
 }
 
 /// A key that was claimed at the previous holder is not granted by the next one.
@@ -82,7 +82,7 @@
     let mut next = Claims::from_handover(all, complete_from);
 
     let again = next.claim(710_000, uid(1), None, 8, RETENTION);
-    assert_eq!(again, ClaimAnswer::Taken(ClaimEnd::Open));
+    assert_eq!(again, ClaimAnswer::Taken(ClaimState::Open));
     assert_eq!(next.claim(710_000, uid(2), None, 9, RETENTION), ClaimAnswer::Granted(9));
 }
 
