--- a/crates/sillbank_gateway/src/vm_limits/meter.rs
+++ b/crates/sillbank_gateway/src/vm_limits/meter.rs
@@ -68,7 +68,7 @@
     /// Bytes, in both directions, on connections of callers and of VMs that ask this one, since the
     /// process started. What arrives from a caller is passed on to an endpoint and back, so each
     /// direction of the link carries both.
-    pub passed_bytes: u64,
+    pub transferred_bytes: u64,
     /// Requests in progress.
     pub requests: u64,
     /// Bytes buffered for callers and endpoints.
@@ -177,7 +177,7 @@
         if elapsed_s <= 0.0 {
             return;
         }
-        let bytes = reading.passed_bytes.saturating_sub(last.passed_bytes) as f64;
+        let bytes = reading.transferred_bytes.saturating_sub(last.transferred_bytes) as f64;
         let weight = 1.0 - (-elapsed_s / RATE_WINDOW.as_secs_f64()).exp();
         self.rate_bytes_per_s += weight * (bytes / elapsed_s - self.rate_bytes_per_s);
         self.mean_requests += weight * (reading.requests as f64 - self.mean_requests);
--- a/crates/sillbank_gateway/src/vm_limits/monitor.rs
+++ b/crates/sillbank_gateway/src/vm_limits/monitor.rs
@@ -19,7 +19,7 @@
         smol::Timer::at(due).await;
         let now = Instant::now();
         let reading = VmReading {
-            passed_bytes: gateway.memory_budget.transferred_bytes(),
+            transferred_bytes: gateway.memory_budget.transferred_bytes(),
             requests: gateway.in_progress.get(),
             buffered_bytes: gateway.memory_budget.used_bytes(),
             connections: gateway.memory_budget.connections(),
--- a/crates/sillbank_gateway/tests/vm_limits.rs
+++ b/crates/sillbank_gateway/tests/vm_limits.rs
@@ -14,7 +14,7 @@
 const LINK_BYTES_PER_S: f64 = 1.75e6;
 
 const IDLE: VmReading = VmReading {
-    passed_bytes: 0,
+    transferred_bytes: 0,
     requests: 10,
     buffered_bytes: 0,
     connections: 20,
@@ -25,12 +25,12 @@
 struct Vm {
     meter: LimitMeter,
     now: Instant,
-    passed_bytes: f64,
+    transferred_bytes: f64,
 }
 
 impl Vm {
     fn new() -> Self {
-        Self { meter: LimitMeter::default(), now: Instant::now(), passed_bytes: 0.0 }
+        Self { meter: LimitMeter::default(), now: Instant::now(), transferred_bytes: 0.0 }
     }
 
     /// Runs for a time at a reading and a rate; returns the state at the end.
@@ -38,8 +38,8 @@
         let ticks = (seconds / TICK.as_secs_f64()).round() as u32;
         for _ in 0..ticks {
             self.now += TICK;
-            self.passed_bytes += rate_bytes_per_s * TICK.as_secs_f64();
-            let reading = VmReading { passed_bytes: self.passed_bytes as u64, ..reading };
+            self.transferred_bytes += rate_bytes_per_s * TICK.as_secs_f64();
+            let reading = VmReading { transferred_bytes: self.transferred_bytes as u64, ..reading };
             self.meter.on_reading(self.now, reading, SMALL);
         }
         self.meter.state()
@@ -150,7 +150,7 @@
         for _ in 0..10 {
             let now = began + Duration::from_millis(u.int_in_range(0..=10_000)?);
             let reading = VmReading {
-                passed_bytes: u.arbitrary()?,
+                transferred_bytes: u.arbitrary()?,
                 requests: u.arbitrary()?,
                 buffered_bytes: u.arbitrary()?,
                 connections: u.arbitrary()?,
