--- a/crates/sillbank_entry/src/execution.rs
+++ b/crates/sillbank_entry/src/execution.rs
@@ -303,10 +303,10 @@
 
     /// Records metrics and logs the time of each stage.
     fn report(&self) {
-        let tally = self.generation.stats();
+        let stats = self.generation.stats();
         let metrics = &self.entry.metrics;
-        metrics.replayed_tokens.inc_by(u64::from(tally.replayed_tokens));
-        metrics.stages_lost.inc_by(u64::from(tally.losses));
+        metrics.replayed_tokens.inc_by(u64::from(stats.replayed_tokens));
+        metrics.stages_lost.inc_by(u64::from(stats.losses));
         metrics.count_answer(self.generation.state());
         for (link, time) in self.stages.iter().zip(&self.stage_times) {
             tracing::debug!(
--- a/crates/sillbank_entry/src/services.rs
+++ b/crates/sillbank_entry/src/services.rs
@@ -117,8 +117,8 @@
 fn granted_claim(answer: ClaimAnswer) -> Result<u64, Failure> {
     match answer {
         ClaimAnswer::Granted(claim) => Ok(claim),
-        ClaimAnswer::Taken(end) => {
-            let run = match end {
+        ClaimAnswer::Taken(state) => {
+            let run = match state {
                 ClaimState::Ran => RunState::Ran,
                 ClaimState::Open | ClaimState::Unknown => RunState::Unknown,
             };
