--- a/crates/sillbank_gateway/src/callers.rs
+++ b/crates/sillbank_gateway/src/callers.rs
@@ -163,7 +163,7 @@
             .choose_service(self.gateway.rng.next_f64())
             .and_then(|name| catalog.service(name))
             .ok_or_else(|| not_ready("the route's service is not configured"))?;
-        if self.gateway.standing() == LimitState::Full {
+        if self.gateway.limit_state() == LimitState::Full {
             return Err(self.at_limit_failure(
                 &route,
                 &service.name,
--- a/crates/sillbank_gateway/src/calls.rs
+++ b/crates/sillbank_gateway/src/calls.rs
@@ -97,8 +97,10 @@
         let choice = match choice {
             Ok(choice) => choice,
             Err(refusal) => {
-                let least = withheld_for.filter(|_| refusal.reason == CallRefusalReason::Withheld);
-                let failure = || with_min_retry_after(refuse(gateway, job, refusal), least);
+                let min_retry_after =
+                    withheld_for.filter(|_| refusal.reason == CallRefusalReason::Withheld);
+                let failure =
+                    || with_min_retry_after(refuse(gateway, job, refusal), min_retry_after);
                 return failed_reply.map(|whole| whole.reply).ok_or_else(failure);
             }
         };
--- a/crates/sillbank_gateway/src/crashes.rs
+++ b/crates/sillbank_gateway/src/crashes.rs
@@ -1,8 +1,8 @@
 //! Tells an endpoint that crashed while it ran a request from a connection that broke.
 //!
 //! A broken connection alone proves little: networks reset connections, and endpoints lose replies.
-//! An endpoint that has crashed refuses new connections, or has restarted. One that was leaving ends
-//! as planned, whatever it had not finished.
+//! An endpoint that has crashed refuses new connections, or has restarted. One that was leaving
+//! exits as planned, even with unfinished requests, and does not count as crashed.
 
 use crate::gateway::Gateway;
 use crate::job::Job;
@@ -22,8 +22,8 @@
 /// next send of a request that lost its endpoint waits for the check.
 const CONNECT_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Delay before the second check. A crashed endpoint is away for longer; other VMs learn of a
-/// first crash later.
+/// Delay before the second check. A crashed endpoint is unreachable for longer; other VMs learn of
+/// a first crash later.
 const RECHECK_DELAY: Duration = Duration::from_millis(100);
 
 /// A send whose connection broke before the answer was complete.
@@ -100,8 +100,8 @@
     gateway.executor.spawn(recheck).detach();
 }
 
-/// Whether the endpoint has crashed since the request was sent: found before, restarted, or refusing
-/// connections.
+/// Whether the endpoint has crashed since the request was sent: found before, restarted, or
+/// refusing connections.
 async fn has_crashed<W: Wire, S>(gateway: &Gateway<W, S>, send: &BrokenSend) -> bool {
     let (crashed, endpoint) = (&gateway.crashed_endpoints, send.endpoint.as_str());
     let check_lock = crashed.check_lock(endpoint);
--- a/crates/sillbank_gateway/src/decisions.rs
+++ b/crates/sillbank_gateway/src/decisions.rs
@@ -1,7 +1,8 @@
-//! Decision log: one line for each decision about a request and each change of the VM's knowledge.
+//! Decision log: one line for each decision about a request and each change of the VM's view of the
+//! platform.
 //!
-//! Lines about requests are rate limited; dropped ones are counted and reported. Lines about
-//! knowledge are few and always written.
+//! Lines about requests are rate limited; dropped ones are counted and reported. Lines about the
+//! view are few and always written.
 
 use crate::crashes::BrokenSend;
 use crate::job::Job;
@@ -30,8 +31,8 @@
     Refused,
     /// A failure: the request may have run.
     Failed,
-    /// The stream was broken off.
-    BrokenOff,
+    /// The stream was aborted before its end.
+    Aborted,
     /// The caller left before the end.
     CallerLeft,
 }
@@ -43,7 +44,7 @@
             Self::Answered => "answered",
             Self::Refused => "refused",
             Self::Failed => "failed",
-            Self::BrokenOff => "broken_off",
+            Self::Aborted => "broken_off",
             Self::CallerLeft => "caller_left",
         }
     }
@@ -220,8 +221,8 @@
     }
 
     /// A configuration was read.
-    pub fn catalog_read(&self, version: Option<CatalogVersion>, at: Revision, taken: bool) {
-        match taken {
+    pub fn catalog_read(&self, version: Option<CatalogVersion>, at: Revision, is_applied: bool) {
+        match is_applied {
             true => tracing::info!(version, %at, "catalog: Taken."),
             false => tracing::info!(version, %at, "catalog: Ignored, a newer one is in force."),
         }
--- a/crates/sillbank_gateway/src/delivery.rs
+++ b/crates/sillbank_gateway/src/delivery.rs
@@ -13,7 +13,8 @@
 }
 
 impl Delivery {
-    /// An event of the request was sent to its caller. `received_at` is when the request was received.
+    /// An event of the request was sent to its caller. `received_at` is when the request was
+    /// received.
     pub fn on_event(&self, received_at: Instant, now: Instant) {
         match self.last_at.replace(Some(now)) {
             None => self.first.set(Some(now.saturating_duration_since(received_at))),
--- a/crates/sillbank_gateway/src/demand.rs
+++ b/crates/sillbank_gateway/src/demand.rs
@@ -129,14 +129,14 @@
     pub fn count_end(&self, job: &Job, outcome: Outcome) {
         match outcome {
             Outcome::Refused => self.count_once(job, DemandEvent::Refused),
-            Outcome::Answered | Outcome::Failed | Outcome::BrokenOff => {
+            Outcome::Answered | Outcome::Failed | Outcome::Aborted => {
                 self.count_once(job, DemandEvent::Admitted);
             }
             Outcome::CallerLeft => {}
         }
     }
 
-    /// When the caller of a request that is refused for lack of room should retry.
+    /// When the caller of a request that is refused for lack of capacity should retry.
     pub fn retry_after(&self, job: &Job) -> Duration {
         let now = Instant::now();
         let refusal =
@@ -153,9 +153,9 @@
     ) -> Duration {
         let fleet = self.fleet_demand(service, now);
         let is_used = fleet.is_reported && self.settings.borrow().mechanisms.fleet_demand;
-        let flow = is_used.then_some(FleetRates { rates: &fleet.rates, vms: fleet.vms });
+        let fleet_rates = is_used.then_some(FleetRates { rates: &fleet.rates, vms: fleet.vms });
         let schedule =
-            |scheduler: &mut RetryScheduler| scheduler.schedule_retry(now, refusal, flow);
+            |scheduler: &mut RetryScheduler| scheduler.schedule_retry(now, refusal, fleet_rates);
         self.demand.with_scheduler(service, now, schedule)
     }
 
--- a/crates/sillbank_gateway/src/feed/messages.rs
+++ b/crates/sillbank_gateway/src/feed/messages.rs
@@ -107,7 +107,7 @@
     /// Engines.
     pub engines: Vec<EngineState>,
     /// Demand on the hall; `None` if its leader has not heard from all VMs yet, or if the follower
-    /// knows it.
+    /// knows it already.
     pub demand: Option<HallRates>,
 }
 
@@ -130,7 +130,7 @@
 
 /// Thresholds while an engine has free KV cache: smaller changes hardly affect the choice of paths.
 const THRESHOLDS: ChangeThresholds = ChangeThresholds { kv_permille: 40, requests: 8 };
-/// Thresholds while its KV cache is nearly full: requests are refused by what is reported.
+/// Thresholds while its KV cache is nearly full: VMs refuse requests by what is reported.
 const NEARLY_FULL_THRESHOLDS: ChangeThresholds = ChangeThresholds { kv_permille: 10, requests: 2 };
 /// Used share of the KV cache from which an engine is nearly full, in thousandths. Path costs rise
 /// from about there.
--- a/crates/sillbank_gateway/src/feed/mod.rs
+++ b/crates/sillbank_gateway/src/feed/mod.rs
@@ -1,4 +1,4 @@
-//! Exchange of updates between VMs, so that few of them ask the store, which is counted and billed.
+//! Exchange of updates between VMs, so that few of them call the store, as each call is billed.
 //!
 //! The holder of a hall's lease follows the store and polls the hall's engines. The other VMs of
 //! the hall follow it instead of the store; leaders of halls follow each other. Passed on are the
--- a/crates/sillbank_gateway/src/feed/server.rs
+++ b/crates/sillbank_gateway/src/feed/server.rs
@@ -84,11 +84,11 @@
         gateway.hall.on_source_request(received_at);
     }
     gateway.on_reported_demand(request, received_at);
-    let teller = match request.hall == gateway.settings().hall {
+    let source = match request.hall == gateway.settings().hall {
         true => UpdateSource::Member,
         false => UpdateSource::Leader,
     };
-    gateway.on_reported_suspects(&request.suspects, teller);
+    gateway.on_reported_suspects(&request.suspects, source);
     gateway.on_reported_limits(&request.limits, "another VM");
     let may_reply = || request.is_source_request || gateway.hall.acting_fence.get().is_some();
     if may_reply() && !has_updates(gateway, request, cursor) {
--- a/crates/sillbank_gateway/src/follow.rs
+++ b/crates/sillbank_gateway/src/follow.rs
@@ -18,9 +18,9 @@
 /// Pause after changes of endpoints before the next watch, so that simultaneous changes cost one
 /// call. An endpoint that leaves must get no work after two seconds.
 const BATCH_PAUSE: Duration = Duration::from_millis(300);
-/// Wait of the first watch after failed calls, or of a VM that relied on its leader so far: whether
-/// something changed is needed at once. With a full wait VMs served again only 1.8 s after the end
-/// of an outage.
+/// Wait of the first watch after failed calls, or of a VM that relied on its leader so far: it has
+/// to learn at once whether something changed. With a full wait VMs served again only 1.8 s after
+/// the end of an outage.
 const FIRST_WATCH_WAIT: Duration = Duration::from_millis(10);
 
 /// Waits before the next call, and rechecks at intervals whether the leader is still live.
--- a/crates/sillbank_gateway/src/freshness.rs
+++ b/crates/sillbank_gateway/src/freshness.rs
@@ -13,9 +13,9 @@
 pub const LONG_POLL_WAIT: Duration = Duration::from_millis(400);
 /// Interval at which a VM that relies on its leader checks whether it has to ask the store itself.
 pub const SOURCE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// Share of the time within which a configuration must be in force for which one confirmation
-/// suffices. When VMs first asked 0.4 s before the end of that time, one call with a lost answer
-/// made them miss it.
+/// Share of the time within which a configuration must be in force for which a leader relies on one
+/// confirmation. When VMs first asked 0.4 s before the end of that time, one call with a lost
+/// answer made them miss it.
 const MAX_STALENESS_SHARE: f64 = 0.5;
 /// Time between the first requests of two VMs of a hall whose leader is stale. The store answers in
 /// 4 ms, and the first VM with an answer updates the leader, which updates the others in 0.1 to 0.4
--- a/crates/sillbank_gateway/src/gateway.rs
+++ b/crates/sillbank_gateway/src/gateway.rs
@@ -39,7 +39,7 @@
 use std::time::{Duration, Instant};
 
 /// Age of a process up to which requests wait for the first configuration, endpoints and quarantine
-/// list. All of them are there about 0.3 s after the start, also when all VMs start at once.
+/// list. All of them are available about 0.3 s after the start, also when all VMs start at once.
 /// Without the wait, 660 callers of 300 VMs were refused at such a start, and each VM would send
 /// quarantined requests once more.
 pub const STARTUP_WAIT: Duration = Duration::from_millis(1_000);
@@ -204,7 +204,7 @@
     }
 
     /// How near this VM is to its limits; always `Clear` when the mechanism is off.
-    pub fn standing(&self) -> LimitState {
+    pub fn limit_state(&self) -> LimitState {
         match self.settings.borrow().mechanisms.vm_limits {
             true => self.limits.borrow().state(),
             false => LimitState::Clear,
@@ -216,7 +216,7 @@
     pub fn leader_score(&self) -> LeaderScore {
         let settings = self.settings.borrow();
         match self.lifecycle.get() {
-            LifecycleState::Serving if self.standing() != LimitState::Clear => 0.0,
+            LifecycleState::Serving if self.limit_state() != LimitState::Clear => 0.0,
             LifecycleState::Serving => settings.processors * settings.link_mbps,
             LifecycleState::Draining | LifecycleState::Stopping => 0.0,
         }
@@ -244,15 +244,15 @@
             && self.platform.is_fresh(now)
             && self.platform.knows_endpoints()
             && self.knows_quarantine(now)
-            && (self.standing() == LimitState::Clear || !self.hall.others_suffice(now))
+            && (self.limit_state() == LimitState::Clear || !self.hall.others_suffice(now))
     }
 
     /// Applies a configuration read at revision `at`, unless a newer one is in force.
     pub fn offer_catalog(&self, catalog: Catalog, parts: CatalogParts, at: Revision) {
         let (version, services) = (parts.version, parts.services.clone());
-        let is_taken = self.platform.offer_catalog(catalog, parts);
-        self.decisions.catalog_read(Some(version), at, is_taken);
-        if is_taken {
+        let is_applied = self.platform.offer_catalog(catalog, parts);
+        self.decisions.catalog_read(Some(version), at, is_applied);
+        if is_applied {
             self.decisions.warn_invalid_figures(&services);
         }
     }
@@ -274,9 +274,9 @@
             tracing::info!(follower, %error, "store: A watch cannot continue; everything is read again.");
             return;
         }
-        let is_trouble = self.platform.on_call_failed(sent, Instant::now(), error.trouble());
+        let is_failure = self.platform.on_call_failed(sent, Instant::now(), error.store_failure());
         if self.store_reached.replace(false) {
-            tracing::warn!(follower, %error, may_lapse = is_trouble, "store: Lost.");
+            tracing::warn!(follower, %error, may_lapse = is_failure, "store: Lost.");
         }
     }
 
--- a/crates/sillbank_gateway/src/hall.rs
+++ b/crates/sillbank_gateway/src/hall.rs
@@ -25,7 +25,7 @@
 /// outage do not.
 const SMALL_HALL_VMS: u32 = 4;
 
-/// Longest pause between calls to a store that does not answer. Fresh knowledge is wanted soon
+/// Longest pause between calls to a store that does not answer. The VM should be up to date soon
 /// after the store is back, but each call is billed, including failed ones.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// Longest such pause of a VM in a large hall that has no leader to learn from. At 2.5 s VMs
@@ -230,12 +230,12 @@
         followers.len() as u32 + 1
     }
 
-    /// VMs of this hall as reported to this leader. `own` is the score of this VM.
-    pub fn vm_count(&self, now: Instant, own: LeaderScore) -> HallVms {
+    /// VMs of this hall as reported to this leader. `own_score` is that of this VM.
+    pub fn vm_count(&self, now: Instant, own_score: LeaderScore) -> HallVms {
         let vms = self.live_vms(now);
         let followers = self.followers.borrow();
         let fit = followers.values().filter(|follower| follower.leader_score > 0.0).count() as u32;
-        HallVms { vms, fit: fit + u32::from(own > 0.0) }
+        HallVms { vms, fit: fit + u32::from(own_score > 0.0) }
     }
 
     /// Records the size of the hall as reported by the leader.
@@ -243,8 +243,8 @@
         self.reported_vms.set(reported);
     }
 
-    /// Whether enough other VMs of the hall are known to be fit. One is left out, as a VM that the
-    /// leader does not know to be unfit yet may count itself.
+    /// Whether enough other VMs of the hall are known to be fit. One is left out: the count may
+    /// include this VM itself, while the leader does not know yet that it is unfit.
     pub fn others_suffice(&self, now: Instant) -> bool {
         let known = match self.acting_fence.get() {
             Some(_) => {
@@ -257,30 +257,36 @@
         others_suffice(known.fit.saturating_sub(1), known.vms)
     }
 
-    /// The recent follower with the highest leader score of at least `least`, and its address.
+    /// The recent follower with the highest leader score of at least `min_score`, and its address.
     /// Among equals one is drawn at random.
-    pub fn best_follower(&self, now: Instant, least: LeaderScore) -> Option<(VmId, SocketAddr)> {
+    pub fn best_follower(
+        &self,
+        now: Instant,
+        min_score: LeaderScore,
+    ) -> Option<(VmId, SocketAddr)> {
         let followers = self.followers.borrow();
-        let is_here = |follower: &Follower| {
+        let is_recent = |follower: &Follower| {
             now.saturating_duration_since(follower.last_request) < LEADER_TIMEOUT
         };
         let is_fit =
-            |follower: &Follower| follower.leader_score > 0.0 && follower.leader_score >= least;
-        let fit = followers.iter().filter(|(_, follower)| is_here(follower) && is_fit(follower));
+            |follower: &Follower| follower.leader_score > 0.0 && follower.leader_score >= min_score;
+        let fit = followers.iter().filter(|(_, follower)| is_recent(follower) && is_fit(follower));
         let drawn = fit
             .map(|(vm, follower)| (follower.leader_score, self.rng.next_u64(), vm, follower.peer));
-        let strongest = drawn.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
-        Some((strongest.2.clone(), strongest.3))
+        let fittest = drawn.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
+        Some((fittest.2.clone(), fittest.3))
     }
 
     /// The follower whose configuration was confirmed last, if that was after `since`.
     pub fn freshest_follower(&self, now: Instant, since: Instant) -> Option<SocketAddr> {
         let followers = self.followers.borrow();
-        let is_here = |follower: &&Follower| {
+        let is_recent = |follower: &&Follower| {
             now.saturating_duration_since(follower.last_request) < LEADER_TIMEOUT
         };
-        let fresher =
-            followers.values().filter(is_here).filter(|follower| follower.confirmed > Some(since));
+        let fresher = followers
+            .values()
+            .filter(is_recent)
+            .filter(|follower| follower.confirmed > Some(since));
         fresher
             .max_by_key(|follower| (follower.confirmed, follower.peer))
             .map(|follower| follower.peer)
@@ -293,8 +299,8 @@
 
     /// Whether the leader recently used this VM as its source and thus relies on it.
     pub fn is_source(&self, now: Instant) -> bool {
-        let is_late = |at: Instant| now.saturating_duration_since(at) < LEADER_TIMEOUT;
-        self.source_requested_at.get().is_some_and(is_late)
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < LEADER_TIMEOUT;
+        self.source_requested_at.get().is_some_and(is_recent)
     }
 
     /// The previous leader named the VM that leads now. `own` is the address of this VM.
--- a/crates/sillbank_gateway/src/hall_reports.rs
+++ b/crates/sillbank_gateway/src/hall_reports.rs
@@ -216,8 +216,8 @@
     }
 
     /// Recent demand, unless the follower has received it already.
-    fn demand_newer_than(&self, reported: u64, now: Instant) -> Option<HallRates> {
-        let demand = self.recent_demand(now).filter(|demand| demand.number > reported)?;
+    fn demand_newer_than(&self, number: u64, now: Instant) -> Option<HallRates> {
+        let demand = self.recent_demand(now).filter(|demand| demand.number > number)?;
         let age_ms = now.saturating_duration_since(demand.as_of).as_millis() as u64;
         Some(HallRates { age_ms, rates: demand.rates.clone() })
     }
--- a/crates/sillbank_gateway/src/job.rs
+++ b/crates/sillbank_gateway/src/job.rs
@@ -22,8 +22,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Rank of requests for which neither the route nor the organisation sets one: the middle of 0 to
-/// 9.
+/// Least urgent rank of a request whose organisation sets none: the middle of 0 to 9. Routes can
+/// only be more urgent.
 const DEFAULT_RANK: u8 = 5;
 /// Minimum time before the deadline at which a request is still sent.
 pub const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
@@ -65,7 +65,7 @@
     pub caller: Option<CallerId>,
     /// Cache of [`Job::fingerprint`].
     pub cached_fingerprint: OnceCell<Fingerprint>,
-    /// Whether the request was counted as let in or refused.
+    /// Whether the request was counted as admitted or refused.
     pub is_counted: Cell<bool>,
 }
 
@@ -133,8 +133,8 @@
         request
     }
 
-    /// Demand on engines: by the caller's token counts, or by the service's usual sizes if it gave
-    /// none.
+    /// Demand on engines: by the caller's token counts, or by the service's usual sizes if the
+    /// caller gave none.
     pub fn demand(&self, figures: &EngineFigures) -> RequestSize {
         let usual = RequestSize::usual(figures);
         let Some(tokens) = self.head.tokens else {
@@ -148,15 +148,17 @@
         }
     }
 
-    /// Urgency, by which admission control ranks requests for the same engines.
+    /// Priority by which admission control orders requests for the same engines.
     pub fn priority(&self) -> Priority {
         Priority { organisation: self.rank(), route: self.route.priority }
     }
 
-    /// Rank of the request; 0 is the most urgent.
+    /// Rank of the request: that of the organisation if it sets one, otherwise that of the route,
+    /// at most `DEFAULT_RANK`. 0 is the most urgent.
     pub fn rank(&self) -> u8 {
-        let own = self.organisation.as_ref().and_then(|organisation| organisation.priority);
-        own.unwrap_or(self.route.priority.min(DEFAULT_RANK))
+        let of_organisation =
+            self.organisation.as_ref().and_then(|organisation| organisation.priority);
+        of_organisation.unwrap_or(self.route.priority.min(DEFAULT_RANK))
     }
 }
 
--- a/crates/sillbank_gateway/src/lib.rs
+++ b/crates/sillbank_gateway/src/lib.rs
@@ -1,12 +1,12 @@
 //! The gateway: accepts callers' requests on every VM and forwards them to endpoints.
 //!
-//! Decisions are made in the terms of this project. An adapter for a platform implements
-//! [`wire::Wire`] and [`store::MetadataStore`].
+//! It uses this project's own terms. For each platform, an adapter that implements [`wire::Wire`]
+//! and [`store::MetadataStore`] translates the platform's formats.
 //!
 //! - [`callers`] admits requests; [`calls`] and [`streams`] handle them; [`call_tracker`] tracks
 //!   the answer times of calls.
 //! - [`platform_view`] holds this VM's view of the platform, [`follow`] keeps it up to date.
-//! - [`restarts`] discards what is kept of endpoints that restart, [`unreadable`] logs entries of
+//! - [`restarts`] discards the state of endpoints that restart, [`unreadable`] logs entries of
 //!   endpoints that cannot be parsed.
 //! - [`endpoints`] tracks the health of endpoints, [`probes`] checks them; [`paths`] chooses among
 //!   engines by the model of `sillbank_engines`.
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -119,11 +119,11 @@
 pub async fn sweep<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     loop {
         let next = Instant::now() + SWEEP_INTERVAL;
-        let lapse_end = gateway.platform.next_eviction();
-        smol::Timer::at(lapse_end.map_or(next, |end| end.min(next))).await;
+        let next_eviction = gateway.platform.next_eviction();
+        smol::Timer::at(next_eviction.map_or(next, |at| at.min(next))).await;
         let now = Instant::now();
         gateway.connection_pool.sweep(now);
-        for id in gateway.platform.on_time(now) {
+        for id in gateway.platform.on_tick(now) {
             tracing::info!(endpoint = id, "endpoint: Not listed again after the outage; evicted.");
             gateway.connection_pool.close_idle(&id);
         }
--- a/crates/sillbank_gateway/src/mechanisms.rs
+++ b/crates/sillbank_gateway/src/mechanisms.rs
@@ -25,7 +25,7 @@
     pub moves: bool,
     /// Paths through engines that are nearly full have a higher cost.
     pub crowd_cost: bool,
-    /// The time that an engine has left counts as part of its room.
+    /// An engine's free processing time counts as part of its capacity.
     pub time_share: bool,
     /// Paths through engines that failed or refused have a higher cost.
     pub health_cost: bool,
--- a/crates/sillbank_gateway/src/paths.rs
+++ b/crates/sillbank_gateway/src/paths.rs
@@ -365,7 +365,7 @@
 }
 
 impl Default for ReportedLoad {
-    /// // An engine without a report is assumed to be idle and healthy.
+    /// An engine without a report is assumed to be idle and healthy.
     fn default() -> Self {
         Self { layers: None, kv_share: 0.0, requests: 0.0, pace: 1.0, reported_at: None, vms: 1 }
     }
--- a/crates/sillbank_gateway/src/placement/leadership.rs
+++ b/crates/sillbank_gateway/src/placement/leadership.rs
@@ -94,7 +94,7 @@
         let now = Instant::now();
         self.check_era();
         if self.gateway.lifecycle.get() != LifecycleState::Serving {
-            self.give_up().await;
+            self.step_down().await;
             return;
         }
         if !self.has_looked_up_leader {
@@ -109,8 +109,8 @@
             write = self.read().await;
         }
         if let Some(write) = write {
-            let end = self.gateway.store.write_lease(&self.name, &write).await;
-            self.lease.on_write_outcome(moment(), end);
+            let outcome = self.gateway.store.write_lease(&self.name, &write).await;
+            self.lease.on_write_outcome(moment(), outcome);
         }
         self.publish_leader();
     }
@@ -180,11 +180,11 @@
     /// it has lapsed.
     fn read_is_due(&self, now: Instant) -> bool {
         let hall = &self.gateway.hall;
-        let store_is_away = hall.leader_is_live(now) && !self.gateway.store_is_reached();
+        let store_is_unreachable = hall.leader_is_live(now) && !self.gateway.store_is_reached();
         if hall.take_nomination() {
             return true;
         }
-        if hall.leader_holds_lease(now) || store_is_away || now < self.next_read_at {
+        if hall.leader_holds_lease(now) || store_is_unreachable || now < self.next_read_at {
             return false;
         }
         if hall.acting_fence.get().is_some() {
@@ -206,18 +206,18 @@
     async fn hand_over(&mut self, vm: VmId, peer: SocketAddr) {
         let write = self.lease.hand_over(moment(), self.rng.next_u64(), vm.clone(), peer);
         let Some(write) = write else { return };
-        let end = self.gateway.store.write_lease(&self.name, &write).await;
-        self.lease.on_write_outcome(moment(), end);
-        if matches!(end, WriteOutcome::Written(_)) {
+        let outcome = self.gateway.store.write_lease(&self.name, &write).await;
+        self.lease.on_write_outcome(moment(), outcome);
+        if matches!(outcome, WriteOutcome::Written(_)) {
             self.handed_to = Some(peer);
         }
-        tracing::info!(lease = self.name, to = vm, ?end, "lease: Handed over.");
+        tracing::info!(lease = self.name, to = vm, end = ?outcome, "lease: Handed over.");
         self.publish_leader();
         self.gateway.hall.wake_followers();
     }
 
     /// Releases the lease when this VM stops, so that another VM takes it at once.
-    async fn give_up(&mut self) {
+    async fn step_down(&mut self) {
         if let Some((vm, peer)) = self.gateway.hall.best_follower(Instant::now(), 0.0)
             && self.is_held()
         {
@@ -225,8 +225,8 @@
             return;
         }
         if let Some(write) = self.lease.release(moment(), self.rng.next_u64(), None) {
-            let end = self.gateway.store.write_lease(&self.name, &write).await;
-            self.lease.on_write_outcome(moment(), end);
+            let outcome = self.gateway.store.write_lease(&self.name, &write).await;
+            self.lease.on_write_outcome(moment(), outcome);
         }
         self.publish_leader();
     }
--- a/crates/sillbank_gateway/src/placement/mod.rs
+++ b/crates/sillbank_gateway/src/placement/mod.rs
@@ -152,6 +152,8 @@
             .any(|(id, tracked)| counts(tracked) && self.gateway.endpoint_tracker.is_ejected(id))
     }
 
+    /// Polls a service's engines in this hall and, under the lease, orders the layers that they
+    /// should hold.
     async fn place_service(&mut self, service: &str, figures: &EngineFigures) {
         let hall = self.gateway.settings().hall.clone();
         let engines: BTreeMap<EndpointId, EndpointRecord> =
@@ -167,10 +169,12 @@
         }
         let alive: Vec<&EndpointRecord> = engines
             .values()
-            .filter(|record| self.tracked.get(&record.id).is_some_and(|k| k.report.is_some()))
+            .filter(|record| {
+                self.tracked.get(&record.id).is_some_and(|tracked| tracked.report.is_some())
+            })
             .collect();
         if alive.len() * 2 <= engines.len() || !self.leadership.is_held() {
-            // More likely this VM is partitioned than most engines are lost.
+            // If most engines seem lost, it is more likely that this VM is partitioned.
             return;
         }
         let is_first = alive.iter().all(|record| self.layers_of(&record.id).is_none());
@@ -209,14 +213,17 @@
     fn engine_view(&self, record: &EndpointRecord, now: Instant) -> Option<EngineView> {
         let tracked = self.tracked.get(&record.id)?;
         let order_in_progress = tracked.report.as_ref()?.order_in_progress;
-        let may_come = |at: Instant| {
+        let may_be_carried_out = |at: Instant| {
             order_in_progress || now.saturating_duration_since(at) < ORDER_RETRY_PAUSE
         };
         Some(EngineView {
             id: record.id.clone(),
             kind: record.accelerator.clone()?,
             serves: self.layers_of(&record.id),
-            ordered: tracked.ordered.filter(|(_, at)| may_come(*at)).map(|(layers, _)| layers),
+            ordered: tracked
+                .ordered
+                .filter(|(_, at)| may_be_carried_out(*at))
+                .map(|(layers, _)| layers),
             order_in_progress,
         })
     }
--- a/crates/sillbank_gateway/src/placement/targets.rs
+++ b/crates/sillbank_gateway/src/placement/targets.rs
@@ -9,9 +9,9 @@
 use sillbank_layers::prelude::*;
 use std::collections::BTreeMap;
 
-/// Planner weights, in units of one loaded layer. Releasing a layer ends the paths of passing
-/// requests, so it costs more than a load. Balance counts less than one load, so that no layer
-/// moves for it alone.
+/// Planner weights, in units of one loaded layer. Releasing a layer ends the paths of requests that
+/// pass through it, so it costs more than a load. Balance counts less than one load, so that no
+/// layer moves for it alone.
 const WEIGHTS: PlanWeights = PlanWeights { load: 1.0, unload: 2.0, balance: 0.1 };
 /// Costs of little free KV cache, as pairs of a number of requests of the usual size and the cost,
 /// in units of one loaded layer, of having room for fewer than that. A hall of the known
@@ -47,7 +47,7 @@
 /// Requests of the usual size that must still fit an engine that takes additional layers in an
 /// emergency. At 8 such an engine refused requests for the rest of the day.
 const MIN_ENGINE_REQUESTS: f64 = 30.0;
-/// Concurrent requests for which a hall is planned at least.
+/// Concurrent requests for which a hall is planned at least, even while fewer run.
 const MIN_HALL_REQUESTS: f64 = 110.0;
 /// Engines that may be moved at once without need: beyond a few, each load slows the others.
 const MAX_SPARE_MOVES: usize = 3;
@@ -131,7 +131,7 @@
         return Some(targets.collect());
     }
     if members.iter().any(|member| member.is_busy) {
-        // Moves under way may already repair it.
+        // Moves in progress may already repair it.
         return Some(Vec::new());
     }
     let assigned = group_into_chains(engines, figures, chains);
@@ -158,9 +158,9 @@
 }
 
 fn plan_chain(chain: &[&EngineView], figures: &EngineFigures) -> Option<Vec<Assignment>> {
-    let runners: Vec<PlanMember> =
-        chain.iter().filter_map(|engine| plan_runner(engine, figures)).collect();
-    plan_placement(&runners, figures.layers, WEIGHTS)
+    let members: Vec<PlanMember> =
+        chain.iter().filter_map(|engine| plan_member(engine, figures)).collect();
+    plan_placement(&members, figures.layers, WEIGHTS)
 }
 
 /// Distributes engines over as many chains as hold the model with room for KV cache.
@@ -241,44 +241,44 @@
 
 fn pair_member(engine: &EngineView, figures: &EngineFigures) -> Option<PairMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_figures(figures, kind);
+    let memory = memory_figures(figures, kind);
     let usual = usual_tokens(figures);
     Some(PairMember {
         endpoint: engine.id.clone(),
         kind: kind.kind.clone(),
-        solo_layers: layers_that_fit(&shape, usual * SOLE_HOLDER_REQUESTS),
-        paired_layers: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
+        solo_layers: layers_that_fit(&memory, usual * SOLE_HOLDER_REQUESTS),
+        paired_layers: layers_that_fit(&memory, usual * PAIRED_REQUESTS),
     })
 }
 
 fn repair_member(engine: &EngineView, figures: &EngineFigures) -> Option<RepairMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_figures(figures, kind);
+    let memory = memory_figures(figures, kind);
     let usual = usual_tokens(figures);
     let is_changing = engine.ordered.is_some() && engine.ordered != engine.serves;
     Some(RepairMember {
         endpoint: engine.id.clone(),
-        preferred_layers: layers_that_fit(&shape, usual * PAIRED_REQUESTS),
-        max_layers: layers_that_fit(&shape, usual * MIN_ENGINE_REQUESTS),
+        preferred_layers: layers_that_fit(&memory, usual * PAIRED_REQUESTS),
+        max_layers: layers_that_fit(&memory, usual * MIN_ENGINE_REQUESTS),
         pace: kind.step_factor,
-        request_capacities: request_capacities(&shape, usual),
+        request_capacities: request_capacities(&memory, usual),
         held: engine.ordered.or(engine.serves),
         is_busy: engine.order_in_progress || is_changing,
     })
 }
 
 /// Requests of the usual size that fit beside 0, 1, 2 ... layers.
-fn request_capacities(shape: &MemoryFigures, usual_tokens: f64) -> Vec<f64> {
-    let most = layers_that_fit(shape, 0.0);
-    (0..=most).map(|held| tokens_that_fit(shape, held) / usual_tokens.max(1.0)).collect()
+fn request_capacities(memory: &MemoryFigures, usual_tokens: f64) -> Vec<f64> {
+    let max_layers = layers_that_fit(memory, 0.0);
+    (0..=max_layers).map(|held| tokens_that_fit(memory, held) / usual_tokens.max(1.0)).collect()
 }
 
-fn plan_runner(engine: &EngineView, figures: &EngineFigures) -> Option<PlanMember> {
+fn plan_member(engine: &EngineView, figures: &EngineFigures) -> Option<PlanMember> {
     let kind = figures.accelerator(&engine.kind)?;
-    let shape = memory_figures(figures, kind);
-    let most_layers = layers_that_fit(&shape, usual_tokens(figures));
+    let memory = memory_figures(figures, kind);
+    let max_layers = layers_that_fit(&memory, usual_tokens(figures));
     let layer_count_costs =
-        (0..=most_layers).map(|held| kv_room_cost(&shape, held, figures)).collect();
+        (0..=max_layers).map(|held| kv_room_cost(&memory, held, figures)).collect();
     Some(PlanMember {
         endpoint: engine.id.clone(),
         layer_count_costs,
@@ -288,8 +288,8 @@
 }
 
 /// Cost of the KV cache that is left beside `held` layers.
-fn kv_room_cost(shape: &MemoryFigures, held: u16, figures: &EngineFigures) -> f64 {
-    let requests = tokens_that_fit(shape, held) / usual_tokens(figures).max(1.0);
+fn kv_room_cost(memory: &MemoryFigures, held: u16, figures: &EngineFigures) -> f64 {
+    let requests = tokens_that_fit(memory, held) / usual_tokens(figures).max(1.0);
     let costs = KV_ROOM_COSTS.iter().filter(|(least, _)| held > 0 && requests < *least);
     costs.map(|(_, cost)| cost).sum()
 }
--- a/crates/sillbank_gateway/src/platform_view.rs
+++ b/crates/sillbank_gateway/src/platform_view.rs
@@ -176,7 +176,7 @@
     }
 
     /// Checks whether the machine was suspended since the last check. The monotonic clock does not
-    /// count that time, during which a revoked key may have stayed accepted.
+    /// count that time, so a key that was revoked meanwhile would still be accepted.
     fn check_suspension(&self) {
         let suspended = self.suspension.borrow_mut().on_reading(read_clocks());
         if let Some(suspended) = suspended {
@@ -250,7 +250,7 @@
             return;
         }
         tracing::info!(%at, %known, "endpoint: Entries of the restored store are taken.");
-        // The store was away until any call first revealed the restore.
+        // The store counts as unreachable until any call first revealed the restore.
         self.directory.borrow_mut().on_restored(self.restored_at.get().unwrap_or(now));
         // A list from another VM may come in pieces; the restore counts from the first.
         self.endpoints_at.set(Revision::new(at.era, 0));
@@ -401,8 +401,8 @@
     /// Records that a call to the store sent at `sent` failed. Returns whether this counts as a
     /// failure of the store; it does not if a call that was sent later was answered, to this VM or
     /// another one.
-    pub fn on_call_failed(&self, sent: Instant, now: Instant, trouble: StoreFailure) -> bool {
-        self.directory.borrow_mut().on_call_failed(sent, now, trouble)
+    pub fn on_call_failed(&self, sent: Instant, now: Instant, failure: StoreFailure) -> bool {
+        self.directory.borrow_mut().on_call_failed(sent, now, failure)
     }
 
     /// When the next lapsed entry is evicted; `None` if there is none or the store is unreachable.
@@ -411,7 +411,7 @@
     }
 
     /// Evicts lapsed entries whose grace period is over and returns their ids.
-    pub fn on_time(&self, now: Instant) -> Vec<String> {
+    pub fn on_tick(&self, now: Instant) -> Vec<String> {
         let mut directory = self.directory.borrow_mut();
         let before = directory.newest_change();
         let over = directory.on_tick(now);
--- a/crates/sillbank_gateway/src/plugins.rs
+++ b/crates/sillbank_gateway/src/plugins.rs
@@ -57,12 +57,12 @@
 }
 
 /// Serves readiness and metrics.
-struct OperatePlugin {
+struct OpsPlugin {
     ready: TcpListener,
     metrics: TcpListener,
 }
 
-impl<W: Wire, S: MetadataStore> Plugin<Gateway<W, S>> for OperatePlugin {
+impl<W: Wire, S: MetadataStore> Plugin<Gateway<W, S>> for OpsPlugin {
     fn build(self, app: &App<Gateway<W, S>>) {
         let ready = Rc::new(ReadyHandler { gateway: app.state() });
         let metrics = Rc::new(MetricsHandler { gateway: app.state() });
@@ -87,9 +87,16 @@
             max_head_bytes: MAX_HEAD_BYTES,
             max_connections: settings.max_caller_connections(),
         };
-        let kept = gateway.memory_budget.clone();
+        let memory_budget = gateway.memory_budget.clone();
         let handler = Rc::new(CallerHandler { gateway });
-        app.spawn(serve_until(app.executor(), self.listener, limits, handler, self.stop, kept));
+        app.spawn(serve_until(
+            app.executor(),
+            self.listener,
+            limits,
+            handler,
+            self.stop,
+            memory_budget,
+        ));
     }
 }
 
@@ -145,7 +152,7 @@
         .add_plugin(FollowPlugin)
         .add_plugin(PlacementPlugin)
         .add_plugin(FeedPlugin { listener: peers })
-        .add_plugin(OperatePlugin { ready, metrics })
+        .add_plugin(OpsPlugin { ready, metrics })
         .add_plugin(CallersPlugin { listener: callers, stop: stopper.token() })
         .add_plugin(MaintenancePlugin { reload: reload_signals, settings_path });
     lifecycle::stop(app.state(), stop_signals, stopper).await;
--- a/crates/sillbank_gateway/src/pushback.rs
+++ b/crates/sillbank_gateway/src/pushback.rs
@@ -1,4 +1,4 @@
-//! Push-back of endpoints: applies what they ask for in their answers, and reports it to other VMs.
+//! Pushback of endpoints: applies what they ask for in their answers, and reports it to other VMs.
 //!
 //! Every choice of an endpoint checks it here first; [`crate::rate_leases`] divides rate limits
 //! among VMs.
@@ -22,7 +22,7 @@
         self.settings.borrow().mechanisms.pushback
     }
 
-    /// Applies the push-back in an endpoint's answer to a request sent at `sent_at`. It is ignored
+    /// Applies the pushback in an endpoint's answer to a request sent at `sent_at`. It is ignored
     /// if the endpoint has restarted since.
     pub fn on_pushback(&self, endpoint: &str, pushback: Pushback, sent_at: Instant) {
         let asks_nothing = pushback == Pushback::default() && self.pushback.borrow().is_empty();
@@ -68,7 +68,7 @@
         self.pushback.borrow_mut().record_send(endpoint, Instant::now());
     }
 
-    /// Logs and counts the endpoints that were not used for a request because of push-back. Returns
+    /// Logs and counts the endpoints that were not used for a request because of pushback. Returns
     /// the time until the first of them accepts requests again, if known.
     pub fn record_withheld(&self, job: &Job) -> Option<Duration> {
         if self.pushback.borrow().is_empty() {
@@ -83,7 +83,7 @@
         all.iter().filter_map(|withheld| withheld.reason.retry_after()).min()
     }
 
-    /// Updates the gauges of push-back.
+    /// Updates the gauges of pushback.
     fn update_pushback_metrics(&self) {
         let pushback = self.pushback.borrow();
         let set = |kind: &'static str, endpoints: usize| {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Expires push-back while the program runs.
+/// Expires pushback while the program runs.
 pub async fn run_expiry<W: Wire, S: MetadataStore>(gateway: Rc<Gateway<W, S>>) {
     let mut checked_at = Instant::now();
     loop {
--- a/crates/sillbank_gateway/src/quarantine.rs
+++ b/crates/sillbank_gateway/src/quarantine.rs
@@ -23,9 +23,9 @@
     /// Records that an endpoint crashed while it ran a request. The crash counts against a request
     /// that had just started there.
     pub fn on_endpoint_crash(&self, job: &Job, send: &BrokenSend) {
-        let is_beginning = send.ran_for().is_none_or(|ran| ran < SUSPICION_WINDOW);
-        self.decisions.endpoint_crashed(job, send, is_beginning);
-        if !is_beginning {
+        let is_suspected = send.ran_for().is_none_or(|ran| ran < SUSPICION_WINDOW);
+        self.decisions.endpoint_crashed(job, send, is_suspected);
+        if !is_suspected {
             return;
         }
         let mut quarantine = self.quarantine.borrow_mut();
@@ -78,9 +78,9 @@
     /// quarantine.
     pub fn refuse_quarantined(&self, job: &Job) -> Option<Failure> {
         let left = self.quarantined_for(job)?;
-        let ends = self.quarantine.borrow().crash_count(job.fingerprint());
+        let crashes = self.quarantine.borrow().crash_count(job.fingerprint());
         let fingerprint = describe_fingerprint(job.fingerprint());
-        let reason = format!("{ends} endpoints ended under this request ({fingerprint})");
+        let reason = format!("{crashes} endpoints ended under this request ({fingerprint})");
         self.metrics.quarantine_refusals.inc();
         Some(Failure::before_work(FailureKind::Quarantined, reason).retry_after(left))
     }
@@ -93,11 +93,11 @@
     }
 
     /// Applies crashes reported by another VM.
-    pub fn on_reported_suspects(&self, suspects: &[SuspectUpdate], teller: UpdateSource) {
+    pub fn on_reported_suspects(&self, suspects: &[SuspectUpdate], source: UpdateSource) {
         if suspects.is_empty() {
             return;
         }
-        let events = self.quarantine.borrow_mut().on_updates(suspects, teller, Instant::now());
+        let events = self.quarantine.borrow_mut().on_updates(suspects, source, Instant::now());
         self.on_quarantine_events(&events);
     }
 
@@ -118,8 +118,8 @@
             }
         }
         let quarantine = self.quarantine.borrow();
-        let (held_back, suspected) = quarantine.counts();
-        self.metrics.quarantined.set(held_back as i64);
+        let (quarantined, suspected) = quarantine.counts();
+        self.metrics.quarantined.set(quarantined as i64);
         self.metrics.suspects.set(suspected as i64);
         if quarantine.newest_urgent()
             > self.quarantine_announced.replace(quarantine.newest_urgent())
--- a/crates/sillbank_gateway/src/rate_leases.rs
+++ b/crates/sillbank_gateway/src/rate_leases.rs
@@ -32,7 +32,8 @@
 }
 
 impl<W: Wire, S> Gateway<W, S> {
-    /// Starts to allocate limits when this VM begins to act as leader, and stops with that.
+    /// Starts to allocate limits when this VM begins to act as leader, and stops when it no longer
+    /// does.
     pub fn update_allocator(&self, now: Instant) {
         let mut allocator = self.rate_leases.allocator.borrow_mut();
         if self.hall.acting_fence.get().is_none() {
--- a/crates/sillbank_gateway/src/retries.rs
+++ b/crates/sillbank_gateway/src/retries.rs
@@ -58,7 +58,7 @@
             SendFailureKind::Misdirected => {
                 // The endpoint could not have run the request. If this counted as one of the
                 // route's sends, streams that meet two engines which have restarted, and whose
-                // entries say so only later, would be broken off.
+                // entries say so only later, would be aborted.
                 job.sends.set(job.sends.get() - 1);
                 self.misdirected += 1;
                 self.misdirected < MAX_MISDIRECTED_SENDS && gateway.may_send_again(job)
--- a/crates/sillbank_gateway/src/settings.rs
+++ b/crates/sillbank_gateway/src/settings.rs
@@ -53,7 +53,7 @@
     pub memory_mb: f64,
     /// Retries allowed per first send of a service's requests.
     pub retry_ratio: f64,
-    /// Retries of all VMs allowed beyond that.
+    /// Additional retries allowed for all VMs together.
     pub retry_slack: f64,
     /// Window in which retries are counted.
     pub retry_window: Duration,
--- a/crates/sillbank_gateway/src/sources.rs
+++ b/crates/sillbank_gateway/src/sources.rs
@@ -2,8 +2,8 @@
 //!
 //! Two tasks follow the platform, one the configuration and one the endpoints. Whenever the
 //! leader's updates are not enough, at least one of them asks the store. That is the
-//! configuration's task, whose calls also detect the return of the store, so some task always
-//! follows for a VM. The quarantine list in the store is followed whenever the endpoints are.
+//! configuration's task, whose calls also detect the return of the store, so a VM is never left
+//! without a source. The quarantine list in the store is followed whenever the endpoints are.
 //!
 //! A leader that has lost the store is updated by one VM of its hall that has not, its source. The
 //! source follows both for as long as the leader asks it. Otherwise each VM of the hall would
--- a/crates/sillbank_gateway/src/store.rs
+++ b/crates/sillbank_gateway/src/store.rs
@@ -50,7 +50,7 @@
     }
 
     /// What the failure says about the entries of endpoints.
-    pub fn trouble(&self) -> StoreFailure {
+    pub fn store_failure(&self) -> StoreFailure {
         match self {
             Self::Refused(TOO_MANY_CALLS) => StoreFailure::RateLimited,
             _ => StoreFailure::Unreachable,
--- a/crates/sillbank_gateway/src/streams/attempt.rs
+++ b/crates/sillbank_gateway/src/streams/attempt.rs
@@ -37,6 +37,7 @@
     pub(super) address: SocketAddr,
     pub(super) splitter: EventSplitter,
     pub(super) _in_flight: InFlightGuard,
+    /// When the request was sent or last moved.
     pub(super) sent_at: Instant,
     /// When the first event arrived from this endpoint.
     pub(super) first_event_at: Option<Instant>,
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -184,8 +184,8 @@
     since: Instant,
 ) -> Vec<EndpointId> {
     let is_lost = |part: &&PathPart| {
-        let (id, book) = (&part.endpoint, &gateway.endpoint_tracker);
-        book.ejected_since(id, since) || book.restarted_since(id, since)
+        let (id, tracker) = (&part.endpoint, &gateway.endpoint_tracker);
+        tracker.ejected_since(id, since) || tracker.restarted_since(id, since)
     };
     path.parts().iter().filter(is_lost).map(|part| part.endpoint.clone()).collect()
 }
--- a/crates/sillbank_gateway/src/streams/mod.rs
+++ b/crates/sillbank_gateway/src/streams/mod.rs
@@ -68,7 +68,8 @@
     }
 }
 
-/// Logs how a stream ended. If it is dropped before an end was recorded, the caller left.
+/// Counts a stream as in progress until dropped, and logs how it ended. If it is dropped before an
+/// end was recorded, the caller left.
 struct StreamGuard<W: Wire, S: MetadataStore> {
     gateway: Rc<Gateway<W, S>>,
     job: Rc<Job>,
--- a/crates/sillbank_gateway/src/streams/open.rs
+++ b/crates/sillbank_gateway/src/streams/open.rs
@@ -42,8 +42,8 @@
                 return Err(with_min_retry_after(failure, retry_after));
             }
             // A stream that has started waits until another engine is usable: giving up would lose
-            // it, and its request is less likely to be the cause of the endpoint's crash than to have
-            // been there by chance.
+            // it, and its request is less likely to be the cause of the endpoint's crash than to
+            // have been there by chance.
             Err(NoTarget::Isolated(remaining)) if job.run.get().not_run_evidence().is_none() => {
                 smol::Timer::after(remaining.min(ENGINE_POLL_INTERVAL)).await;
                 continue;
--- a/crates/sillbank_gateway/src/streams/relay.rs
+++ b/crates/sillbank_gateway/src/streams/relay.rs
@@ -60,13 +60,13 @@
         let caller_gone = async {
             std::future::poll_fn(|context| outbox.poll_reader_closed(context)).await;
             match outbox.reader_cut_off() {
-                true => (Outcome::BrokenOff, "the caller read nothing for too long".to_owned()),
+                true => (Outcome::Aborted, "the caller read nothing for too long".to_owned()),
                 false => (Outcome::CallerLeft, "the caller left".to_owned()),
             }
         };
         let past_deadline = async {
             smol::Timer::at(deadline).await;
-            (Outcome::BrokenOff, "the deadline passed".to_owned())
+            (Outcome::Aborted, "the deadline passed".to_owned())
         };
         let relay = self.relay(upstream);
         let end =
@@ -109,7 +109,7 @@
             drop(upstream);
             match self.resume(avoid).await {
                 Some(resumed) => upstream = resumed,
-                None => return (Outcome::BrokenOff, reason),
+                None => return (Outcome::Aborted, reason),
             }
         }
     }
--- a/crates/sillbank_gateway/src/streams/target.rs
+++ b/crates/sillbank_gateway/src/streams/target.rs
@@ -29,8 +29,8 @@
     NoRoom,
     /// There is a path, but the endpoints that it could start at asked for fewer requests.
     Withheld,
-    /// The request is isolated, as it may crash endpoints, and no endpoint that the path could start
-    /// at is left for it. It stays isolated for this long.
+    /// The request is isolated, as it may crash endpoints, and no endpoint that the path could
+    /// start at is left for it. It stays isolated for this long.
     Isolated(Duration),
 }
 
--- a/crates/sillbank_gateway/src/vm_limits/mod.rs
+++ b/crates/sillbank_gateway/src/vm_limits/mod.rs
@@ -1,10 +1,10 @@
 //! Use of a VM's own limits, and load shedding before it is overloaded.
 //!
-//! [`LimitMeter`] computes the use of the limits without a network or clock; [`monitor_limits`] takes
-//! a reading ten times a second. A VM that is near a limit reports strength 0, so that another one
-//! leads its hall, and reports not ready while enough others are fit. A VM at a limit refuses new
-//! requests at once: a request that is read and then delayed costs its caller more than one that is
-//! retried elsewhere.
+//! [`LimitMeter`] computes the use of the limits without a network or clock; [`monitor_limits`]
+//! takes a reading ten times a second. A VM that is near a limit reports leader score 0, so that
+//! another one leads its hall, and reports not ready while enough others are fit. A VM at a limit
+//! refuses new requests at once: a request that is read and then delayed costs its caller more than
+//! one that is retried elsewhere.
 
 mod meter;
 mod monitor;
