--- a/crates/sillbank_gateway/src/placement/leadership.rs
+++ b/crates/sillbank_gateway/src/placement/leadership.rs
@@ -109,8 +109,8 @@
             write = self.read().await;
         }
         if let Some(write) = write {
-            let outcome = self.gateway.store.write_lease(&self.name, &write).await;
-            self.lease.on_write_outcome(moment(), outcome);
+            let end = self.gateway.store.write_lease(&self.name, &write).await;
+            self.lease.on_write_outcome(moment(), end);
         }
         self.publish_leader();
     }
@@ -206,12 +206,12 @@
     async fn hand_over(&mut self, vm: VmId, peer: SocketAddr) {
         let write = self.lease.hand_over(moment(), self.rng.next_u64(), vm.clone(), peer);
         let Some(write) = write else { return };
-        let outcome = self.gateway.store.write_lease(&self.name, &write).await;
-        self.lease.on_write_outcome(moment(), outcome);
-        if matches!(outcome, WriteOutcome::Written(_)) {
+        let end = self.gateway.store.write_lease(&self.name, &write).await;
+        self.lease.on_write_outcome(moment(), end);
+        if matches!(end, WriteOutcome::Written(_)) {
             self.handed_to = Some(peer);
         }
-        tracing::info!(lease = self.name, to = vm, end = ?outcome, "lease: Handed over.");
+        tracing::info!(lease = self.name, to = vm, ?end, "lease: Handed over.");
         self.publish_leader();
         self.gateway.hall.wake_followers();
     }
@@ -225,8 +225,8 @@
             return;
         }
         if let Some(write) = self.lease.release(moment(), self.rng.next_u64(), None) {
-            let outcome = self.gateway.store.write_lease(&self.name, &write).await;
-            self.lease.on_write_outcome(moment(), outcome);
+            let end = self.gateway.store.write_lease(&self.name, &write).await;
+            self.lease.on_write_outcome(moment(), end);
         }
         self.publish_leader();
     }
