--- a/crates/sillbank_gateway/src/backoff.rs
+++ b/crates/sillbank_gateway/src/backoff.rs
@@ -26,14 +26,14 @@
         let exponential = INITIAL_PAUSE.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
         let random_share = MIN_RANDOM_SHARE + (1.0 - MIN_RANDOM_SHARE) * random.clamp(0.0, 1.0);
-        Pause { began: now, exponential, random_share }
+        Pause { started_at: now, exponential, random_share }
     }
 }
 
 /// A pause that has started.
 #[derive(Debug, Clone, Copy)]
 pub struct Pause {
-    began: Instant,
+    started_at: Instant,
     exponential: Duration,
     random_share: f64,
 }
@@ -52,6 +52,6 @@
         // where two calls a second serve the hall as well.
         let is_randomised = hall.acting_fence.get().is_none() || full < max_pause;
         let random_share = if is_randomised { self.random_share } else { 1.0 };
-        (self.began + full.mul_f64(random_share)).saturating_duration_since(now)
+        (self.started_at + full.mul_f64(random_share)).saturating_duration_since(now)
     }
 }
--- a/crates/sillbank_gateway/src/follow.rs
+++ b/crates/sillbank_gateway/src/follow.rs
@@ -27,11 +27,11 @@
 async fn pause<W: Wire, S: MetadataStore>(backoff: &mut Backoff, gateway: &Gateway<W, S>) {
     let pause = backoff.next_pause(Instant::now(), gateway.rng.next_f64());
     loop {
-        let left = pause.remaining(Instant::now(), &gateway.hall, gateway.freshness());
-        if left.is_zero() {
+        let remaining = pause.remaining(Instant::now(), &gateway.hall, gateway.freshness());
+        if remaining.is_zero() {
             return;
         }
-        smol::Timer::after(left.min(SOURCE_CHECK_INTERVAL)).await;
+        smol::Timer::after(remaining.min(SOURCE_CHECK_INTERVAL)).await;
     }
 }
 
@@ -125,11 +125,11 @@
         return true;
     };
     let version = parts.as_ref().ok().map(|parts| parts.version);
-    let made = parts.and_then(|parts| {
+    let parsed = parts.and_then(|parts| {
         let catalog = Catalog::new(parts.clone()).map_err(|error| error.to_string())?;
         Ok((catalog, parts))
     });
-    match made {
+    match parsed {
         Ok((catalog, parts)) => {
             gateway.offer_catalog(catalog, parts, read.at);
             true
--- a/crates/sillbank_gateway/src/lifecycle.rs
+++ b/crates/sillbank_gateway/src/lifecycle.rs
@@ -29,7 +29,7 @@
     stopper: Stopper,
 ) {
     signals.next().await;
-    let stop_began = Instant::now();
+    let stop_started_at = Instant::now();
     let grace = gateway.settings().stop_grace.saturating_sub(STOP_MARGIN);
     tracing::info!(
         in_progress = gateway.in_progress.get(),
@@ -40,12 +40,12 @@
     stopper.stop();
     smol::Timer::after(BALANCER_LAG.min(grace)).await;
     gateway.lifecycle.set(LifecycleState::Stopping);
-    while stop_began.elapsed() < grace && gateway.in_progress.get() > 0 {
+    while stop_started_at.elapsed() < grace && gateway.in_progress.get() > 0 {
         smol::Timer::after(STOP_POLL_INTERVAL).await;
     }
     tracing::info!(
         in_progress = gateway.in_progress.get(),
-        after_ms = stop_began.elapsed().as_millis() as u64,
+        after_ms = stop_started_at.elapsed().as_millis() as u64,
         "program: Stopped."
     );
 }
--- a/crates/sillbank_gateway/src/load.rs
+++ b/crates/sillbank_gateway/src/load.rs
@@ -44,7 +44,7 @@
     /// Priority of the request.
     pub priority: Priority,
     /// Time left until the caller's deadline, if known.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// Uniform random number from 0 to 1. The request is admitted if it is below the admitted share
     /// of its class.
     pub draw: f64,
@@ -134,7 +134,7 @@
 
     /// Whether the caller has waited beyond the time in which an answer is worth most.
     fn is_late(&self, request: AdmissionRequest<'_>, is_calm: bool) -> bool {
-        let Some(left) = request.left else {
+        let Some(time_left) = request.time_left else {
             return false;
         };
         let mut elapsed_times = self.elapsed_times.borrow_mut();
@@ -143,9 +143,9 @@
         }
         let estimator = elapsed_times.entry(request.route.name.clone()).or_default();
         if is_calm {
-            estimator.record_first_try(left);
+            estimator.record_first_try(time_left);
         }
-        estimator.elapsed(left) > request.route.objective
+        estimator.elapsed(time_left) > request.route.objective
     }
 }
 
--- a/crates/sillbank_gateway/src/probes.rs
+++ b/crates/sillbank_gateway/src/probes.rs
@@ -138,19 +138,19 @@
     endpoint: EndpointId,
     address: SocketAddr,
 ) -> Probe {
-    let began = Instant::now();
+    let started_at = Instant::now();
     match gateway.engine_calls.call(address, W::report_call(), PROBE_TIMEOUT).await {
         Ok(reply) => {
             if let Ok(report) = W::read_report(&reply.body) {
                 gateway.on_reported_incarnation(&endpoint, report.born_ms);
             }
             // An engine that has restarted has lost the stalled request.
-            match gateway.endpoint_tracker.restarted_since(&endpoint, began) {
+            match gateway.endpoint_tracker.restarted_since(&endpoint, started_at) {
                 true => Probe::Refused,
                 false => Probe::Answered,
             }
         }
-        Err(_) if began.elapsed() >= PROBE_TIMEOUT => Probe::Silent,
+        Err(_) if started_at.elapsed() >= PROBE_TIMEOUT => Probe::Silent,
         Err(error) => {
             tracing::debug!(endpoint = %address, %error, "endpoint: Refused a probe.");
             Probe::Refused
@@ -178,13 +178,13 @@
     gateway: Rc<Gateway<W, S>>,
     engine: EndpointRecord,
 ) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let call = gateway.engine_calls.call(engine.address, W::report_call(), REPORT_TIMEOUT);
     match call.await {
-        Ok(_) => gateway.on_evidence(&engine.id, Evidence::Good, began, "it reports again"),
+        Ok(_) => gateway.on_evidence(&engine.id, Evidence::Good, started_at, "it reports again"),
         Err(error) => {
             let reason = error.to_string();
-            gateway.on_evidence(&engine.id, Evidence::Unreachable, began, &reason);
+            gateway.on_evidence(&engine.id, Evidence::Unreachable, started_at, &reason);
         }
     }
 }
--- a/crates/sillbank_gateway/src/sources.rs
+++ b/crates/sillbank_gateway/src/sources.rs
@@ -49,7 +49,7 @@
     pub awaits_leader: bool,
 }
 
-/// Whether a task need not ask the store.
+/// Whether a task relies on the leader and need not call the store itself.
 pub fn relies_on_leader(kind: WatchKind, state: SourceState) -> bool {
     if state.awaits_leader {
         return true;
--- a/crates/sillbank_gateway/src/streams/loss.rs
+++ b/crates/sillbank_gateway/src/streams/loss.rs
@@ -197,7 +197,7 @@
     path: &LayerPath,
     silent_for: Duration,
 ) -> Option<Loss> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut lost = probe_path(gateway, path, silent_for).await;
     lost.retain(|(id, _)| silence_means_loss(standing(gateway, id)));
     if lost.is_empty() {
@@ -205,7 +205,7 @@
     }
     let reason = "it takes no calls while a stream stands still";
     for (id, _) in &lost {
-        gateway.on_evidence(id, Evidence::Unreachable, began, reason);
+        gateway.on_evidence(id, Evidence::Unreachable, started_at, reason);
     }
     let is_certain = lost.iter().any(|(_, probe)| *probe == Probe::Refused);
     let engines = lost.into_iter().map(|(id, _)| id).collect();
@@ -219,18 +219,18 @@
     active_route: ActiveRoute<'_>,
 ) -> Option<Loss> {
     let first = active_route.endpoint;
-    let began = Instant::now();
+    let started_at = Instant::now();
     match diagnose(gateway, active_route.address, &job.head.request_id).await {
         Diagnosis::Working => None,
         Diagnosis::Silent(_) if !silence_means_loss(standing(gateway, first)) => None,
         Diagnosis::Silent(reason) => {
-            gateway.on_evidence(first, Evidence::Unreachable, began, &reason);
+            gateway.on_evidence(first, Evidence::Unreachable, started_at, &reason);
             Some(Loss::of_engine(first, &reason))
         }
         Diagnosis::WaitsFor(address) => {
             let part = active_route.path.and_then(|path| path.part_at(address))?;
             let reason = "the first endpoint waits for it";
-            gateway.on_evidence(&part.endpoint, Evidence::Unreachable, began, reason);
+            gateway.on_evidence(&part.endpoint, Evidence::Unreachable, started_at, reason);
             Some(Loss::of_engine(&part.endpoint, reason))
         }
     }
--- a/crates/sillbank_gateway/src/wire.rs
+++ b/crates/sillbank_gateway/src/wire.rs
@@ -56,7 +56,7 @@
     pub reason: &'static str,
 }
 
-/// What an endpoint is told with a request, beside the caller's own headers.
+/// What an endpoint is sent with a request in addition to the caller's own headers.
 #[derive(Debug, Clone)]
 pub struct SendContext<'a> {
     /// Endpoint the request is for; any other refuses it.
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -141,14 +141,14 @@
         self.hall.reports.insert(self.start + after, report);
     }
 
-    fn request(&self, after: Duration, rank: u8, left: Duration) -> Result<(), NotAdmitted> {
+    fn request(&self, after: Duration, rank: u8, time_left: Duration) -> Result<(), NotAdmitted> {
         let figures = self.service.engine.as_ref().expect("it has one");
         let request = AdmissionRequest {
             service: &self.service,
             figures,
             route: &self.route,
             priority: Priority { organisation: rank, route: 0 },
-            left: Some(left),
+            time_left: Some(time_left),
             draw: 0.5,
         };
         self.load.admit(self.routing_context(after), request)
@@ -350,7 +350,7 @@
     for draw in [0.0, 1.0, f64::NAN] {
         let priority = Priority { organisation: 9, route: 9 };
         let (service, route) = (&vm.service, &vm.route);
-        let request = AdmissionRequest { service, figures, route, priority, left: None, draw };
+        let request = AdmissionRequest { service, figures, route, priority, time_left: None, draw };
 
         assert_eq!(vm.load.admit(vm.routing_context(Duration::ZERO), request), Ok(()), "{draw}");
     }
