--- a/crates/sillbank_admission/src/calls.rs
+++ b/crates/sillbank_admission/src/calls.rs
@@ -114,7 +114,7 @@
     ReservedForUrgent,
     /// All endpoints asked for fewer requests.
     Withheld,
-    /// An endpoint ended while it processed the call, and the only remaining one is not put at risk.
+    /// An endpoint crashed while it processed the call, and the only remaining one is not put at risk.
     Isolated,
 }
 
@@ -163,7 +163,7 @@
         observed.answered_at = now;
     }
 
-    /// Records a call that failed, was given up, or lost its answer, after a time. An answer would have taken longer
+    /// Records the duration of a call that failed, was given up, or lost its answer. An answer would have taken longer
     /// than that, so the time counts only if it is above the mean: an endpoint that fails at once is not a fast one.
     pub fn record_unanswered(&mut self, endpoint: &str, after: Duration, now: Instant) {
         let own = self.endpoints.get(endpoint).and_then(|observed| observed.answer);
@@ -188,14 +188,14 @@
         self.endpoints.retain(|id, _| is_known(id));
     }
 
-    /// Selects a candidate for a call that has just arrived, or refuses the call. `chance` draws a random number from
+    /// Selects a candidate for a call that has just arrived, or refuses the call. `draw` returns a random number from
     /// 0 to 1.
     pub fn choose(
         &mut self,
         candidates: &[CallCandidate<'_>],
         request: CallRequest,
         now: Instant,
-        mut chance: impl FnMut() -> f64,
+        mut draw: impl FnMut() -> f64,
     ) -> CallDecision {
         let estimates = self.estimates(candidates, now);
         let fastest_s = fastest_answer_s(&estimates);
@@ -218,11 +218,11 @@
             _ => None,
         };
         if let Some(reason) = refusal {
-            let retry_after = retry_after(&estimates, fastest_s, chance());
+            let retry_after = retry_after(&estimates, fastest_s, draw());
             return CallDecision::Refuse(CallRefusal { reason, retry_after });
         }
         let cost = |index: usize| estimates[index].cost(fastest_s);
-        let costs = in_time.into_iter().map(|index| (cost(index) + chance(), index));
+        let costs = in_time.into_iter().map(|index| (cost(index) + draw(), index));
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0));
         let Some((_, best)) = best else {
             unreachable!("without a candidate in time the call is refused above");
@@ -335,9 +335,9 @@
 
 /// Time after which a caller should retry: when the first endpoint is likely to be free, plus up to one answer time as
 /// jitter, so that callers refused together do not retry together.
-fn retry_after(estimates: &[Estimate<'_>], fastest_s: f64, chance: f64) -> Duration {
+fn retry_after(estimates: &[Estimate<'_>], fastest_s: f64, draw: f64) -> Duration {
     let soonest =
         estimates.iter().map(|estimate| estimate.full_for).min().unwrap_or(FULL_FOR_DEFAULT);
     let jitter = Duration::from_secs_f64(fastest_s).clamp(FULL_FOR_RANGE.0, FULL_FOR_RANGE.1);
-    soonest.max(FULL_FOR_RANGE.0) + jitter.mul_f64(chance.clamp(0.0, 1.0))
+    soonest.max(FULL_FOR_RANGE.0) + jitter.mul_f64(draw.clamp(0.0, 1.0))
 }
--- a/crates/sillbank_admission/src/lib.rs
+++ b/crates/sillbank_admission/src/lib.rs
@@ -168,7 +168,7 @@
     }
 }
 
-/// Time by which enough work should have ended to admit the request. Assumes that the requests in
+/// Time after which enough work should have ended to admit the request. Assumes that the requests in
 /// flight end evenly over the predicted time of one request.
 fn retry_after(predicted: Duration, request: &AdmissionRequest<'_>) -> Duration {
     let late = predicted.saturating_sub(request.deadline.mul_f64(SAFE_DEADLINE_FRACTION));
--- a/crates/sillbank_admission/src/retry_after.rs
+++ b/crates/sillbank_admission/src/retry_after.rs
@@ -1,9 +1,10 @@
 //! Schedules when callers that are refused for lack of capacity should retry.
 //!
 //! The duration of a shortage is unknown. One that has lasted for some time is likely to last as
-//! long again, so callers are told to retry after that time. Retries are spaced so that no more arrive
-//! per second than fit over the fleet, urgent ones first, so that callers do not return into the crowd
-//! that they left. A caller for whom the retry would be too late learns it at once and takes no slot.
+//! long again, so callers are told to retry after that time. Retries are spaced, urgent ones first, so
+//! that no more arrive per second than the fleet has capacity for: if all callers returned together, they
+//! would be refused again. A caller for whom the retry would be too late learns it at once and takes no
+//! slot.
 //!
 //! Each VM schedules its own callers. The capacity for retries over the fleet follows from the fleet's demand;
 //! a VM's part of it is its part of the refusals. Without figures of the fleet a VM uses its own admissions.
--- a/crates/sillbank_admission/src/retry_after/pacing.rs
+++ b/crates/sillbank_admission/src/retry_after/pacing.rs
@@ -15,9 +15,9 @@
 /// recovers from an outage.
 const MIN_ADMITTED_PER_S: f64 = 1.0;
 /// Maximum part of the fleet's retries that one VM schedules, as a multiple of the mean part. Callers arrive at VMs
-/// unevenly, but the figures of the fleet are a second old, and at the start of a crowd every VM would consider itself
+/// unevenly, but the figures of the fleet are a second old, and at the start of a burst every VM would consider itself
 /// the largest.
-const MAX_MEAN_PARTS: f64 = 3.0;
+const MAX_PART_TO_MEAN: f64 = 3.0;
 /// Time constant of the request rates at this VM.
 const RATE_TIME_S: f64 = 2.0;
 
@@ -112,7 +112,7 @@
         }
         let own_refusals = own_refused_per_s * RATE_TIME_S;
         let own_per_s = (own_refusals + 1.0) / (RATE_TIME_S + 1.0 / mean_per_s);
-        (own_per_s / self.refused_per_s).min(MAX_MEAN_PARTS / vms)
+        (own_per_s / self.refused_per_s).min(MAX_PART_TO_MEAN / vms)
     }
 }
 
--- a/crates/sillbank_admission/src/share_controller.rs
+++ b/crates/sillbank_admission/src/share_controller.rs
@@ -11,13 +11,13 @@
 //! is larger than the share, changes are relative to the error, so that the share recovers soon after an overload.
 //!
 //! A VM that has just started admits every request. From then on it reduces its share by the same errors as the
-//! other VMs. While they hold the engines at the target it stays more open than they are, and they close by as much
-//! more.
+//! other VMs. While the others hold the engines at the target, the new VM keeps a larger share than they do, and
+//! their shares fall by as much as it admits in addition.
 
 use std::time::{Duration, Instant};
 
 /// Target fullness. The rest is reserved for answers that become longer than predicted: engines that run out
-/// of memory put requests back that they have begun, and read them again.
+/// of memory preempt running requests and prefill them again.
 const TARGET_FULLNESS: f64 = 0.88;
 /// Predicted fullness from which requests are shed; below it every request is admitted. A peak slightly above
 /// [`TARGET_FULLNESS`] is harmless, as the engines are full only at 1. On a fleet of 6 VMs, 0.008 of a normal
--- a/crates/sillbank_admission/src/shedding.rs
+++ b/crates/sillbank_admission/src/shedding.rs
@@ -46,8 +46,8 @@
 const DECAY_TIME_S: f64 = 4.0;
 /// Weight below which a class is forgotten; that of one request after some 30 s.
 const MIN_WEIGHT: f64 = 5e-4;
-/// Share of a shed class that is admitted nevertheless, so that no kind of request, organisation or subject is
-/// shut out for as long as an overload lasts.
+/// Share of a shed class that is admitted nevertheless, so that no kind of request, and with it no organisation or
+/// route, is shut out for as long as an overload lasts.
 const MIN_SHARE: f64 = 0.03;
 
 /// Recent requests for one service at one VM, by class.
--- a/crates/sillbank_admission/tests/returns.rs
+++ b/crates/sillbank_admission/tests/returns.rs
@@ -86,7 +86,7 @@
     assert!(waits.iter().all(|wait| *wait <= Duration::from_secs(30)), "{waits:?}");
 }
 
-/// A VM of a large fleet sees one request per second, or none for a while: a single refusal is not a crowd.
+/// A VM of a large fleet sees one request per second, or none for a while: a single refusal is not a burst.
 #[test]
 fn single_caller_at_an_idle_vm_retries_soon() {
     let now = Instant::now();
@@ -184,7 +184,7 @@
     }
 }
 
-/// A crowd of 4 s, such as a page that many users open at once. Its retries must fit together with new urgent callers.
+/// A burst of 4 s, such as a page that many users open at once. Its retries must fit together with new urgent callers.
 #[test]
 fn retries_after_a_burst_fit_the_capacity() {
     let mut fleet = Fleet::new(twice_the_capacity());
@@ -252,7 +252,7 @@
     assert!(max <= 6, "{max}");
 }
 
-/// A crowd starts while the leaders' figures are a second old, so each VM sees more than its part of it. The excess of
+/// A burst starts while the leaders' figures are a second old, so each VM sees more than its part of it. The excess of
 /// retries stays bounded.
 #[test]
 fn outdated_figures_allow_few_excess_retries() {
