--- a/crates/sillbank_demand/src/lib.rs
+++ b/crates/sillbank_demand/src/lib.rs
@@ -1,6 +1,6 @@
 //! Demand on a fleet: requests offered, admitted, refused and retried, by service and rank.
 //!
-//! A VM sees a few requests a second, too few for a rate by rank within a second. Each VM therefore
+//! A VM sees a few requests a second, too few to measure a rate by rank within a second. Each VM therefore
 //! counts its own requests in a [`DemandCounter`] and sends its leader a [`DemandReport`]. The leader's
 //! [`DemandAggregator`] adds up the reports of the VMs of its hall to [`DemandRate`]s and passes these
 //! on.
--- a/crates/sillbank_demand/src/retry_detector.rs
+++ b/crates/sillbank_demand/src/retry_detector.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 /// A caller that has less time left than others by more than this is retrying. Refused callers are told to
-/// retry after 500 ms at the earliest, and the arrival times of requests differ by less than this.
+/// retry after 500 ms at the earliest, and the times that requests take to arrive differ by less than this.
 const RETRY_THRESHOLD: Duration = Duration::from_millis(100);
 /// Length of the periods over which the longest time is taken, so that a single unusual caller has no
 /// permanent effect.
@@ -12,7 +12,7 @@
 /// Maximum number of routes whose times are kept; idle routes are evicted when another one is needed.
 const MAX_ROUTES: usize = 256;
 
-/// Estimates with how much time left the callers of each route start.
+/// Detects retries by the longest time left that callers of the same route had recently.
 #[derive(Debug, Default)]
 pub struct RetryDetector {
     by_route: HashMap<String, LongestTimes>,
