--- a/crates/sillbank_engines/src/forecast.rs
+++ b/crates/sillbank_engines/src/forecast.rs
@@ -17,7 +17,7 @@
 const ENGINE_PAUSE_SHARE: f64 = 0.8;
 /// Passes that an event takes at an engine that is never idle: half of the current one, and its own.
 const BUSY_PASSES: f64 = 1.5;
-/// Standard deviations from the mean of an answer's pauses to their longest: the expected maximum of about
+/// Distance of an answer's longest pause from the mean, in standard deviations: the expected maximum of about
 /// fifty pauses with a normal distribution.
 const MAX_PAUSE_DEVIATIONS: f64 = 2.3;
 /// Mean square of the prefill time divided by its squared mean. The standard deviation of prompt sizes is
@@ -144,16 +144,17 @@
     let passes = (passes::clamp_tokens(size.prompt_tokens) / max_tokens).ceil().max(1.0);
     let mut first_ms = passes * event_ms;
     let mut queue_ms: f64 = 0.0;
-    let mut prefills: f64 = 0.0;
+    let mut max_prefill_variance: f64 = 0.0;
     for (position, (engine, part)) in engines.iter().zip(parts).enumerate() {
         first_ms += engine.costs.prefill_ms(size.prompt_tokens);
         // All engines of a path have the same waiting requests, so only the slowest queue counts. Requests
-        // without capacity are prefilled once others end.
+        // beyond the capacity are prefilled once others end.
         let capacity_ms = part.capacity_wait_ms(figures, position, events * event_ms);
         queue_ms = queue_ms.max(capacity_ms).max(engine.prefill_queue_ms(figures));
-        prefills = prefills.max(prefill_variance(&engine.costs, engine.running, events));
+        max_prefill_variance =
+            max_prefill_variance.max(prefill_variance(&engine.costs, engine.running, events));
     }
-    let pause_ms = max_pause_ms(event_ms, parts.len() as f64, prefills);
+    let pause_ms = max_pause_ms(event_ms, parts.len() as f64, max_prefill_variance);
     ForecastTimes { first_event: capped(queue_ms + first_ms), pause: capped(pause_ms) }
 }
 
--- a/crates/sillbank_engines/src/send_log.rs
+++ b/crates/sillbank_engines/src/send_log.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// How long sends are kept. Reports are only older if nothing is heard of an engine.
+/// How long sends are kept. A report is older than this only if no further reports of the engine arrive.
 const RETENTION: Duration = Duration::from_secs(3);
 
 /// Load that was sent to an engine since its last report, minus the load that ended.
--- a/crates/sillbank_engines/tests/forecast.rs
+++ b/crates/sillbank_engines/tests/forecast.rs
@@ -88,10 +88,11 @@
 #[test]
 fn first_event_waits_for_requests_beyond_capacity() {
     let figures = figures();
-    let begun = load(&figures, FAST, 27, 130.0);
-    let full = EngineLoad { waiting: 60.0, ..begun };
+    let running_only = load(&figures, FAST, 27, 130.0);
+    let full = EngineLoad { waiting: 60.0, ..running_only };
 
-    let [free, full] = [vec![begun; 3], vec![full; 3]].map(|parts| predicted(&figures, &parts));
+    let [free, full] =
+        [vec![running_only; 3], vec![full; 3]].map(|parts| predicted(&figures, &parts));
 
     // About 50 requests beyond its memory, with 70 to 80 requests ending per second.
     assert!(free.first_event < Duration::from_millis(200), "{free:?}");
@@ -136,7 +137,7 @@
     assert_eq!(
         limit(27, 0.0, OBJECTIVE),
         limit(27, 1.0, OBJECTIVE),
-        "none is quicker than its figures"
+        "no engine is faster than its figures"
     );
     assert_eq!(limit(27, 1.0, Duration::ZERO), 192.0, "no objective is missed");
     assert_eq!(nothing.first_event, Duration::ZERO);
@@ -189,7 +190,7 @@
         let pace = any_figure(u, 1.0)?;
         let objective = Duration::from_millis(u.int_in_range(0..=1_000)?);
         let [running, waiting] = [any_figure(u, 60.0)?, any_figure(u, 10.0)?];
-        let demand = RequestSize {
+        let size = RequestSize {
             prompt_tokens: any_figure(u, 700.0)?,
             answer_tokens: any_figure(u, 200.0)?,
         };
@@ -199,12 +200,12 @@
             .iter()
             .map(|kind| EngineLoad { kind, layers, running, waiting, pace })
             .collect();
-        let predicted = forecast(&figures, &parts, demand);
-        let most = f64::from(figures.slots.max(1));
+        let predicted = forecast(&figures, &parts, size);
+        let max = f64::from(figures.slots.max(1));
 
         for kind in &figures.accelerators {
             let requests = max_requests_for_pause(&figures, kind, layers, pace, objective);
-            assert!((1.0..=most).contains(&requests), "{requests} of {figures:?}");
+            assert!((1.0..=max).contains(&requests), "{requests} of {figures:?}");
         }
         assert!(predicted.first_event <= Duration::from_secs(60), "{predicted:?}");
         assert!(predicted.pause <= Duration::from_secs(60), "{predicted:?}");
@@ -250,10 +251,10 @@
         let pace = f64::from(u.int_in_range(10..=100_u16)?) / 10.0;
         let slower = pace + f64::from(u.int_in_range(1..=50_u16)?) / 10.0;
 
-        let [well, slow] = [pace, slower]
+        let [at_pace, at_slower] = [pace, slower]
             .map(|pace| max_requests_for_pause(&figures, kind, layers, pace, OBJECTIVE));
 
-        assert!(slow <= well, "{slow} at {slower}, {well} at {pace}");
+        assert!(at_slower <= at_pace, "{at_slower} at {slower}, {at_pace} at {pace}");
         Ok(())
     });
 }
--- a/crates/sillbank_engines/tests/fullness.rs
+++ b/crates/sillbank_engines/tests/fullness.rs
@@ -72,16 +72,16 @@
     for_fixed_seeds(500, 512, |u| {
         let mut engines = any_engines(u)?;
         let before = HallCapacity::of(&engines, LAYERS);
-        let whole = engine(0, LAYERS, f64::from(u.int_in_range(1..=500_u32)?), 0.0);
+        let all_layers = engine(0, LAYERS, f64::from(u.int_in_range(1..=500_u32)?), 0.0);
 
         engines.extend(any_engines(u)?);
         let more = HallCapacity::of(&engines, LAYERS);
-        engines.push(whole);
+        engines.push(all_layers);
         let with_empty = HallCapacity::of(&engines, LAYERS);
 
         assert!(more.capacity >= before.capacity && more.free >= before.free);
-        let fuller = with_empty.fullness().expect("all layers are held");
-        assert!(fuller <= more.fullness().unwrap_or(1.0) + 1e-9, "{fuller} {more:?}");
+        let fullness = with_empty.fullness().expect("all layers are held");
+        assert!(fullness <= more.fullness().unwrap_or(1.0) + 1e-9, "{fullness} {more:?}");
         Ok(())
     });
 }
