--- a/crates/sillbank_layers/src/chains.rs
+++ b/crates/sillbank_layers/src/chains.rs
@@ -23,7 +23,7 @@
 /// Assigns endpoints to `chains` chains.
 ///
 /// Endpoints in `before` keep their chain. Other endpoints that hold layers join the chain that
-/// these continue; empty endpoints join the chain with the least weight.
+/// their layers continue; empty endpoints join the chain with the least weight.
 pub fn assign_chains(
     members: &[ChainMember],
     chains: usize,
--- a/crates/sillbank_layers/src/placement_repair.rs
+++ b/crates/sillbank_layers/src/placement_repair.rs
@@ -175,7 +175,7 @@
         found.is_some()
     }
 
-    /// Whether an endpoint can be moved: all layers that it holds are also served by others.
+    /// Whether an endpoint can be moved: it is not fixed, and others also serve all layers that it holds.
     fn is_free(&self, index: usize) -> bool {
         !self.fixed[index]
             && self.held[index].is_none_or(|held| {
--- a/crates/sillbank_layers/tests/layers.rs
+++ b/crates/sillbank_layers/tests/layers.rs
@@ -218,17 +218,17 @@
 /// The number of layers that fit falls as the KV cache grows.
 #[test]
 fn fewer_layers_fit_beside_a_larger_kv_cache() {
-    let shape = MemoryFigures {
+    let figures = MemoryFigures {
         memory_mb: 21_600.0,
         layer_mb: 1750.0,
         layers: 80,
         kv_token_bytes: 459_000.0,
     };
 
-    assert_eq!(layers_that_fit(&shape, 0.0), 12);
-    assert_eq!(layers_that_fit(&shape, 1.0), 12);
-    assert_eq!(layers_that_fit(&shape, 30_000.0), 11);
-    assert_eq!(layers_that_fit(&shape, 70_000.0), 10);
+    assert_eq!(layers_that_fit(&figures, 0.0), 12);
+    assert_eq!(layers_that_fit(&figures, 1.0), 12);
+    assert_eq!(layers_that_fit(&figures, 30_000.0), 11);
+    assert_eq!(layers_that_fit(&figures, 70_000.0), 10);
 }
 
 /// An endpoint unloads layers that others hold if they take memory needed for its KV cache.
@@ -297,7 +297,7 @@
 #[test]
 fn path_repair_replaces_only_the_lost_part() {
     let old = vec![part("a", 0, 4), part("lost", 4, 8), part("c", 8, 10)];
-    let old = LayerPath::new(old, 10).expect("it is whole");
+    let old = LayerPath::new(old, 10).expect("the path is complete");
     let holders = [holder("a", "a", 0, 10), holder("x", "a", 2, 6), holder("y", "b", 5, 9)];
 
     let repaired = repair_path(&old, "lost", &holders, 10, "a", CROSSING).expect("others hold it");
@@ -311,7 +311,8 @@
 /// Path repair returns nothing if the lost endpoint runs the first part.
 #[test]
 fn first_part_of_a_path_cannot_be_replaced() {
-    let old = LayerPath::new(vec![part("a", 0, 4), part("b", 4, 10)], 10).expect("it is whole");
+    let old =
+        LayerPath::new(vec![part("a", 0, 4), part("b", 4, 10)], 10).expect("the path is complete");
     let holders = [holder("x", "a", 0, 4)];
 
     assert!(repair_path(&old, "a", &holders, 10, "a", CROSSING).is_none());
--- a/crates/sillbank_layers/tests/repair.rs
+++ b/crates/sillbank_layers/tests/repair.rs
@@ -121,7 +121,7 @@
         member("new", 10, None),
     ];
 
-    let moves = repair_placement(&members, 20, LOAD, 2).expect("it can be mended");
+    let moves = repair_placement(&members, 20, LOAD, 2).expect("it can be repaired");
 
     let expected =
         RepairMove { endpoint: "new".to_owned(), layers: range(10, 20), is_urgent: true };
@@ -137,7 +137,7 @@
         member("c", 5, Some(range(15, 20))),
     ];
 
-    let moves = repair_placement(&members, 20, LOAD, 2).expect("it can be mended");
+    let moves = repair_placement(&members, 20, LOAD, 2).expect("it can be repaired");
 
     assert_eq!(moves.len(), 1);
     assert_eq!((moves[0].layers, moves[0].is_urgent), (range(10, 15), true));
@@ -148,7 +148,7 @@
 fn small_gap_is_filled_by_an_adjacent_holder() {
     let members = [member("a", 10, Some(range(0, 10))), member("b", 9, Some(range(11, 20)))];
 
-    let moves = repair_placement(&members, 20, LOAD, 2).expect("it can be mended");
+    let moves = repair_placement(&members, 20, LOAD, 2).expect("it can be repaired");
 
     assert_eq!((moves[0].endpoint.as_str(), moves[0].layers), ("a", range(0, 11)));
 }
