--- a/crates/sillbank_model/src/engine.rs
+++ b/crates/sillbank_model/src/engine.rs
@@ -142,7 +142,7 @@
         self.used_tokens = 0;
     }
 
-    /// Refuses steps that cannot run whatever the KV cache of the request contains.
+    /// Refuses steps that cannot run, whatever the KV cache of the request contains.
     fn admit(&self, step: &Step) -> Result<(), Refusal> {
         if step.layers.first < self.layers.first || step.layers.end > self.layers.end {
             return Err(Refusal::WrongLayers);
