--- a/crates/sillbank_pushback/src/lib.rs
+++ b/crates/sillbank_pushback/src/lib.rs
@@ -1,7 +1,7 @@
 //! Pushback: what endpoints ask of VMs in their answers, and how VMs comply with it together.
 //!
-//! An endpoint may refuse a VM and ask it to pause, and an endpoint that leaves announces it. Each VM follows what it
-//! was told itself.
+//! An endpoint may refuse a VM and ask it to pause, and an endpoint that leaves announces it. Each VM follows only the
+//! pauses and announcements that it received itself.
 //!
 //! An overloaded endpoint sets a rate limit in requests per second for all VMs together. A leader allocates the
 //! limit to the VMs that want to send, by their demand. A VM sends when its rate lease opens a permit. A rate lease
--- a/crates/sillbank_pushback/src/limits.rs
+++ b/crates/sillbank_pushback/src/limits.rs
@@ -13,7 +13,7 @@
 /// How long a limit holds after any VM last received it: without requests to the endpoint it cannot be revoked.
 const LIMIT_TTL: Duration = Duration::from_secs(30);
 /// Time after which a limit that is received again is announced again, so that it does not expire on VMs that only
-/// hear of it from others.
+/// receive it from others.
 const REANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
 /// Minimum rate of requests to an endpoint from all VMs, whatever limit it sets: only an answer can revoke a limit.
 const MIN_LIMIT_PER_S: f64 = 0.1;
@@ -293,7 +293,7 @@
         self.unreadable.remove(endpoint);
     }
 
-    /// Removes limits that no VM has received for long, and returns those that lapse by that.
+    /// Removes entries that no VM has received for long, and returns the limits that lapse with them.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<(EndpointId, PushbackEvent)> {
         let mut lapsed = Vec::new();
         self.endpoints.retain(|endpoint, state| {
