--- a/crates/sillbank_quarantine/src/lib.rs
+++ b/crates/sillbank_quarantine/src/lib.rs
@@ -2,8 +2,8 @@
 //! quarantined, and which updates about them VMs exchange.
 //!
 //! A retry of a caller has its own id and usually arrives at another VM. Requests are therefore identified by their
-//! [`Fingerprint`]. A request that was in its first moments on an endpoint when that crashed becomes a suspect: it may
-//! be the cause, or be there by chance. A suspect that then runs well is cleared. A request with three crashes is
+//! [`Fingerprint`]. A request becomes a suspect if an endpoint crashes in the first moments of running it: it may be
+//! the cause, or have been there by chance. A suspect that then runs well is cleared. A request with three crashes is
 //! quarantined for a term, which doubles with each further crash.
 //!
 //! The state of a request is a set of crashes and the time at which it was last seen to run well. Sets of different
--- a/crates/sillbank_quarantine/src/suspect.rs
+++ b/crates/sillbank_quarantine/src/suspect.rs
@@ -82,7 +82,8 @@
         self.crashes.iter().map(|crash| crash.endpoint.clone()).collect()
     }
 
-    /// Whether the store should keep the suspect: one more crash quarantines it, or the store holds outdated state.
+    /// Whether the store should keep the suspect: one more crash quarantines it, or the store already has it, so that
+    /// a clearing is written too.
     pub(crate) fn is_kept(&self) -> bool {
         self.crash_count() >= URGENT_CRASHES || self.stored.is_some()
     }
