--- a/crates/sillbank_engines/tests/time.rs
+++ b/crates/sillbank_engines/tests/time.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Engines at 12 times their usual pace have no time left for much less than that load.
+/// Engines that are 12 times slower than usual use more than 90 % of their time for a smaller load.
 #[test]
 fn engine_at_a_twelfth_of_its_speed_is_overloaded() {
     let figures = figures();
