--- a/crates/sillbank_fleet/src/directory.rs
+++ b/crates/sillbank_fleet/src/directory.rs
@@ -212,8 +212,8 @@
         std::mem::take(&mut self.held_back)
     }
 
-    /// Number of times so far that a full read was required, from the store or from the VM that
-    /// replicates it.
+    /// Number of times so far that a full read was required, from the store or from the VM whose
+    /// directory is replicated.
     pub fn rereads(&self) -> u64 {
         self.rereads
     }
--- a/crates/sillbank_fleet/src/reachability.rs
+++ b/crates/sillbank_fleet/src/reachability.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-/// How long after the store's return a missing entry may still come back. The platform names about
-/// two seconds; the rest is for the delay until this VM hears of the entry.
+/// How long after the store's return a missing entry may still be written again. The platform states
+/// about two seconds; the rest is for the delay until this VM receives the entry.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2300);
 
 /// Why a call to the store failed, as far as it matters for the entries of endpoints.
@@ -26,6 +26,7 @@
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Reachability {
+    /// No call has failed since the last grace period ended.
     #[default]
     Steady,
     /// Calls failed, the last one at this moment.
--- a/crates/sillbank_fleet/tests/directory.rs
+++ b/crates/sillbank_fleet/tests/directory.rs
@@ -69,14 +69,14 @@
     let without_lapse = directory.next_eviction();
     directory.on_store_failure(now, StoreFailure::Unreachable);
     directory.on_change(now, removed("a"));
-    let while_away = directory.next_eviction();
+    let while_unreachable = directory.next_eviction();
 
     directory.on_store_recovered(now);
-    let while_back = directory.next_eviction();
+    let after_recovery = directory.next_eviction();
     directory.on_tick(now + LAPSE_GRACE);
 
-    assert_eq!((without_lapse, while_away), (None, None));
-    assert_eq!(while_back, Some(now + LAPSE_GRACE));
+    assert_eq!((without_lapse, while_unreachable), (None, None));
+    assert_eq!(after_recovery, Some(now + LAPSE_GRACE));
     assert_eq!(directory.next_eviction(), None);
 }
 
@@ -89,9 +89,9 @@
     directory.on_listing(now, vec![]);
 
     directory.on_change(now, Change::Put(record("a", Standing::Ready)));
-    let over = directory.on_tick(now + LAPSE_GRACE * 2);
+    let evicted = directory.on_tick(now + LAPSE_GRACE * 2);
 
-    assert_eq!(over, Vec::<String>::new());
+    assert_eq!(evicted, Vec::<String>::new());
     assert!(directory.usable("a").is_some());
 }
 
@@ -210,11 +210,12 @@
     let failed = now + Duration::from_secs(3);
     directory.on_call_answered(now + Duration::from_secs(1));
 
-    let is_trouble = directory.on_call_failed(now, failed, StoreFailure::Unreachable);
-    let is_newer_trouble = directory.on_call_failed(failed, failed, StoreFailure::Unreachable);
+    let is_store_failure = directory.on_call_failed(now, failed, StoreFailure::Unreachable);
+    let is_newer_store_failure =
+        directory.on_call_failed(failed, failed, StoreFailure::Unreachable);
 
-    assert!(!is_trouble);
-    assert!(is_newer_trouble);
+    assert!(!is_store_failure);
+    assert!(is_newer_store_failure);
 }
 
 /// The outage starts at the failure, so a later answer to a call sent before it does not end it.
@@ -244,7 +245,7 @@
     directory.on_change(now, Change::Unreadable(unreadable("a")));
 
     assert!(directory.usable("a").is_none() && directory.usable("b").is_some());
-    assert!(directory.get("a").is_some(), "it ends what it has");
+    assert!(directory.get("a").is_some(), "it completes its current requests");
 
     directory.on_change(now, Change::Put(record("a", Standing::Ready)));
 
--- a/crates/sillbank_fleet/tests/lives.rs
+++ b/crates/sillbank_fleet/tests/lives.rs
@@ -115,7 +115,8 @@
     assert_eq!((known.layers, known.standing), (None, Standing::Leaving));
 }
 
-/// The store then has no entry of the newer incarnation, so no requests may be sent to it.
+/// The removal of an older incarnation's entry leaves the store without any entry of the endpoint, so
+/// no requests may be sent to its newer incarnation.
 #[test]
 fn removal_before_newer_incarnation_wrote_entry_removes_endpoint() {
     let mut directory = directory_of(record(FIRST, Standing::Ready));
@@ -163,14 +164,15 @@
 /// Without a stated incarnation, the latest update applies and no restart is reported.
 #[test]
 fn entries_without_incarnation_are_applied_in_order() {
-    let unnamed = |standing| EndpointRecord { born_ms: None, ..record(FIRST, standing) };
-    let mut directory = directory_of(unnamed(Standing::Ready));
+    let without_incarnation =
+        |standing| EndpointRecord { born_ms: None, ..record(FIRST, standing) };
+    let mut directory = directory_of(without_incarnation(Standing::Ready));
 
-    directory.on_change(Instant::now(), Change::Put(unnamed(Standing::Leaving)));
+    directory.on_change(Instant::now(), Change::Put(without_incarnation(Standing::Leaving)));
     assert!(directory.usable(ID).is_none());
-    directory.on_change(Instant::now(), Change::Put(unnamed(Standing::Ready)));
+    directory.on_change(Instant::now(), Change::Put(without_incarnation(Standing::Ready)));
 
-    assert_eq!(directory.usable(ID), Some(&unnamed(Standing::Ready)));
+    assert_eq!(directory.usable(ID), Some(&without_incarnation(Standing::Ready)));
     assert!(directory.take_restarted().is_empty());
     assert_eq!(directory.on_change(Instant::now(), removed(None)), Some(Removal::Gone));
 }
@@ -188,8 +190,8 @@
     );
 
     source.on_incarnation(ID, SECOND);
-    let piece = source.difference(Instant::now(), replication.seen(), 10);
-    replication.on_difference(&mut copy, Instant::now(), piece, Recency::Newer);
+    let page = source.difference(Instant::now(), replication.seen(), 10);
+    replication.on_difference(&mut copy, Instant::now(), page, Recency::Newer);
 
     assert_eq!(copy.get(ID), source.get(ID));
     assert_eq!(copy.get(ID).and_then(|record| record.layers), None);
--- a/crates/sillbank_fleet/tests/replication.rs
+++ b/crates/sillbank_fleet/tests/replication.rs
@@ -167,20 +167,20 @@
 /// the endpoint when the reporting VM is killed.
 #[test]
 fn reported_lapse_does_not_restart_grace() {
-    let returned = Instant::now();
-    let told = returned + LAPSE_GRACE - Duration::from_millis(500);
-    let passed_on = told + Duration::from_millis(400);
+    let recovered_at = Instant::now();
+    let reported_at = recovered_at + LAPSE_GRACE - Duration::from_millis(500);
+    let relayed_at = reported_at + Duration::from_millis(400);
     let mut reporter = source(&["a", "b"]);
-    reporter.on_restored(returned);
-    assert_eq!(reporter.on_change(told, removed("a")), Some(Removal::Lapsed));
+    reporter.on_restored(recovered_at);
+    assert_eq!(reporter.on_change(reported_at, removed("a")), Some(Removal::Lapsed));
     let (mut second, mut third) = (source(&["a", "b"]), source(&["a", "b"]));
 
-    catch_up_at(told, &mut Replication::default(), &mut second, &reporter, 10);
-    catch_up_at(passed_on, &mut Replication::default(), &mut third, &second, 10);
+    catch_up_at(reported_at, &mut Replication::default(), &mut second, &reporter, 10);
+    catch_up_at(relayed_at, &mut Replication::default(), &mut third, &second, 10);
 
     for own in [&mut second, &mut third] {
-        let early = own.on_tick(returned + LAPSE_GRACE - Duration::from_millis(1));
-        let late = own.on_tick(returned + LAPSE_GRACE);
+        let early = own.on_tick(recovered_at + LAPSE_GRACE - Duration::from_millis(1));
+        let late = own.on_tick(recovered_at + LAPSE_GRACE);
         assert!(early.is_empty());
         assert_eq!(late, vec!["a".to_owned()]);
     }
@@ -310,12 +310,12 @@
                     source.on_change(now, removed(&id));
                 }
                 5 => {
-                    let piece = source.difference(Instant::now(), replication.seen(), limit);
-                    replication.on_difference(&mut copy, Instant::now(), piece, Recency::Newer);
+                    let page = source.difference(Instant::now(), replication.seen(), limit);
+                    replication.on_difference(&mut copy, Instant::now(), page, Recency::Newer);
                 }
                 6 => {
-                    let piece = source.difference(Instant::now(), replication.seen(), limit);
-                    replication.on_difference(&mut copy, Instant::now(), piece, Recency::Older);
+                    let page = source.difference(Instant::now(), replication.seen(), limit);
+                    replication.on_difference(&mut copy, Instant::now(), page, Recency::Older);
                 }
                 // A new connection to the source starts over.
                 _ => replication = Replication::default(),
--- a/crates/sillbank_fleet/tests/restore.rs
+++ b/crates/sillbank_fleet/tests/restore.rs
@@ -212,7 +212,10 @@
             act(u, &mut directory, &mut left, now, id)?;
             directory.on_tick(now);
             for id in &left {
-                assert!(directory.usable(id).is_none(), "{id} left and takes work");
+                assert!(
+                    directory.usable(id).is_none(),
+                    "{id} has announced that it leaves, but is usable"
+                );
             }
         }
         Ok(())
@@ -233,7 +236,7 @@
         }
         1 if left.contains(id) => {
             directory.on_change(now, removed(id));
-            // A later entry would be a new one, unless the store is restored first.
+            // Without another restore, an entry that is listed after this removal counts as a new one.
             directory.on_restored(now);
         }
         2 => {
