--- a/crates/sillbank_lease/src/chart.rs
+++ b/crates/sillbank_lease/src/chart.rs
@@ -27,19 +27,34 @@
 
 named_enum! {
     pub(crate) enum LeaseEvent {
+        /// The object was read: no VM holds the lease.
         Free = "free",
+        /// The object was read: this VM's pending write has taken effect.
         OwnFound = "own_found",
+        /// The object was read: it still has the version that this VM holds.
         StillHeld = "still_held",
+        /// The object was read: another VM holds the lease, or may hold it.
         Others = "others",
+        /// The object was read: another VM's lease has lapsed, or the record names this
+        /// VM, which may take the lease at once.
         OthersLapsed = "others_lapsed",
+        /// The write took effect.
         Written = "written",
+        /// The object had another version than the write expected.
         Changed = "changed",
+        /// The write was refused or never sent.
         Refused = "refused",
+        /// The write was not answered.
         Lost = "lost",
+        /// A third of the term has passed.
         RenewDue = "renew_due",
+        /// The part of the term in which this VM uses the lease is over.
         Lapsed = "lapsed",
-        GiveUp = "give_up",
+        /// The lease is to be released or handed over.
+        Release = "give_up",
+        /// The store was restored from a copy.
         Restored = "restored",
+        /// The object was read after a restore, and the old term is not over.
         Reread = "reread",
     }
 }
--- a/crates/sillbank_lease/src/lib.rs
+++ b/crates/sillbank_lease/src/lib.rs
@@ -270,7 +270,7 @@
     /// Releases the lease; returns the write that frees it, if it is held. `heir` is the VM that
     /// received the state which this VM kept under the lease.
     pub fn release(&mut self, now: Moment, mark: u64, heir: Option<VmId>) -> Option<LeaseWrite<V>> {
-        let mut write = self.step(now, LeaseEvent::GiveUp, mark)?;
+        let mut write = self.step(now, LeaseEvent::Release, mark)?;
         write.record.heir = heir.unwrap_or_default();
         Some(write)
     }
@@ -285,7 +285,7 @@
         vm: VmId,
         peer: SocketAddr,
     ) -> Option<LeaseWrite<V>> {
-        let mut write = self.step(now, LeaseEvent::GiveUp, mark)?;
+        let mut write = self.step(now, LeaseEvent::Release, mark)?;
         write.record.owner = vm;
         write.record.peer = peer;
         Some(write)
--- a/crates/sillbank_lease/tests/leases.rs
+++ b/crates/sillbank_lease/tests/leases.rs
@@ -45,23 +45,23 @@
     let mut lease = Lease::new(candidate(1));
 
     let write = lease.on_read(moment(start, 0), None, 7).expect("it is free");
-    let end = platform.write(&write);
-    lease.on_write_outcome(moment(start, 10), end);
+    let outcome = platform.write(&write);
+    lease.on_write_outcome(moment(start, 10), outcome);
     assert_eq!(lease.fence(moment(start, 20)), Some(1));
     assert_eq!(lease.acquisition(), Some(Acquisition::Fresh), "there was never a holder before");
 
     let renewal = lease.on_tick(moment(start, 3000), 8).expect("a renewal is due");
-    let end = platform.write(&renewal);
-    lease.on_write_outcome(moment(start, 3010), end);
+    let outcome = platform.write(&renewal);
+    lease.on_write_outcome(moment(start, 3010), outcome);
     assert_eq!(lease.fence(moment(start, 9000)), Some(2), "counted from the renewal");
 
     let free = lease.release(moment(start, 9500), 9, Some("vm2".to_owned())).expect("it is held");
-    assert_eq!(lease.fence(moment(start, 9500)), None, "nothing is done under it any more");
+    assert_eq!(lease.fence(moment(start, 9500)), None, "it must not be used any more");
     platform.write(&free);
     let mut heir = Lease::new(candidate(2));
     let write = heir.on_read(moment(start, 9600), platform.object.clone(), 10);
-    let end = platform.write(&write.expect("it is free"));
-    heir.on_write_outcome(moment(start, 9610), end);
+    let outcome = platform.write(&write.expect("it is free"));
+    heir.on_write_outcome(moment(start, 9610), outcome);
     assert_eq!(heir.acquisition(), Some(Acquisition::Inherited));
 }
 
@@ -96,20 +96,20 @@
         (Lease::new(candidate(1)), Lease::new(candidate(2)).reclaiming_own());
     let mut third = Lease::new(candidate(3)).reclaiming_own();
     let write = first.on_read(moment(start, 0), None, 7).expect("it is free");
-    let end = platform.write(&write);
-    first.on_write_outcome(moment(start, 5), end);
+    let outcome = platform.write(&write);
+    first.on_write_outcome(moment(start, 5), outcome);
 
     let named = candidate(2);
     let write = first.hand_over(moment(start, 100), 8, named.vm, named.peer).expect("it is held");
-    assert_eq!(first.fence(moment(start, 100)), None, "nothing is done under it any more");
-    let end = platform.write(&write);
-    first.on_write_outcome(moment(start, 105), end);
+    assert_eq!(first.fence(moment(start, 100)), None, "it must not be used any more");
+    let outcome = platform.write(&write);
+    first.on_write_outcome(moment(start, 105), outcome);
 
     let write = third.on_read(moment(start, 110), platform.object.clone(), 9);
     assert_eq!(write, None);
     let write = second.on_read(moment(start, 110), platform.object.clone(), 10);
-    let end = platform.write(&write.expect("it is named"));
-    second.on_write_outcome(moment(start, 115), end);
+    let outcome = platform.write(&write.expect("it is named as the holder"));
+    second.on_write_outcome(moment(start, 115), outcome);
     assert_eq!(second.fence(moment(start, 120)), Some(3));
 }
 
@@ -154,7 +154,7 @@
 
     assert_eq!(next, None);
     assert_eq!(lease.fence(moment(start, 200)), Some(1));
-    assert_eq!(lease.fence(moment(start, 7000)), None, "counted from when the write left");
+    assert_eq!(lease.fence(moment(start, 7000)), None, "counted from when the write was sent");
 }
 
 /// A VM that acquires a free lease without being named its heir has none of the last holder's
@@ -225,8 +225,8 @@
 
     let mut new = Lease::new(candidate(1)).reclaiming_own();
     let write = new.on_read(moment(start, 100), platform.object.clone(), 8).expect("it is its own");
-    let end = platform.write(&write);
-    new.on_write_outcome(moment(start, 110), end);
+    let outcome = platform.write(&write);
+    new.on_write_outcome(moment(start, 110), outcome);
 
     assert_eq!(new.fence(moment(start, 120)), Some(2));
     assert_eq!(new.acquisition(), Some(Acquisition::TakenOver));
@@ -244,8 +244,8 @@
     second.on_read(moment(start, 100), platform.object.clone(), 8);
 
     let write = second.on_read(moment(start, 9_200), platform.object.clone(), 9);
-    let end = platform.write(&write.expect("the first has lapsed"));
-    second.on_write_outcome(moment(start, 9_210), end);
+    let outcome = platform.write(&write.expect("the first has lapsed"));
+    second.on_write_outcome(moment(start, 9_210), outcome);
 
     assert_eq!(second.holder().map(|record| record.owner.as_str()), Some("vm2"));
 }
@@ -269,7 +269,7 @@
 /// A renewal that was refused, or that had no effect so far, leaves the lease held and is retried.
 #[test]
 fn failed_renewal_leaves_lease_held() {
-    for end in [WriteOutcome::Refused, WriteOutcome::Lost] {
+    for outcome in [WriteOutcome::Refused, WriteOutcome::Lost] {
         let start = Instant::now();
         let mut platform = Platform::default();
         let mut lease = Lease::new(candidate(1));
@@ -278,7 +278,7 @@
         lease.on_write_outcome(moment(start, 10), written);
 
         lease.on_tick(moment(start, 3000), 8).expect("a renewal is due");
-        lease.on_write_outcome(moment(start, 3010), end);
+        lease.on_write_outcome(moment(start, 3010), outcome);
         if lease.needs_read() {
             assert_eq!(lease.on_read(moment(start, 3020), platform.object.clone(), 9), None);
         }
@@ -286,7 +286,7 @@
         let written = platform.write(&renewal);
         lease.on_write_outcome(moment(start, 3260), written);
 
-        assert_eq!(lease.fence(moment(start, 9000)), Some(2), "{end:?}");
+        assert_eq!(lease.fence(moment(start, 9000)), Some(2), "{outcome:?}");
     }
 }
 
@@ -304,8 +304,8 @@
     assert_eq!(lease.on_read(moment(start, 1000), platform.object.clone(), 8), None);
     assert_eq!(lease.on_read(moment(start, 9900), platform.object.clone(), 8), None);
     let write = lease.on_read(moment(start, 10_001), platform.object.clone(), 8);
-    let end = platform.write(&write.expect("nine eighths of the term are over"));
-    lease.on_write_outcome(moment(start, 10_010), end);
+    let outcome = platform.write(&write.expect("nine eighths of the term are over"));
+    lease.on_write_outcome(moment(start, 10_010), outcome);
 
     assert!(lease.fence(moment(start, 10_010)).is_some());
     assert_eq!(lease.acquisition(), Some(Acquisition::TakenOver));
@@ -401,8 +401,8 @@
             }
             2 => racer.in_flight = Some(write),
             _ => {
-                let end = platform.write(&write);
-                racer.lease.on_write_outcome(now, end);
+                let outcome = platform.write(&write);
+                racer.lease.on_write_outcome(now, outcome);
             }
         }
         return Ok(());
--- a/crates/sillbank_lease/tests/restored.rs
+++ b/crates/sillbank_lease/tests/restored.rs
@@ -67,8 +67,8 @@
 fn holder(store: &mut Store, start: Instant) -> Lease<Version> {
     let mut lease = Lease::new(candidate(1)).reclaiming_own();
     let write = lease.on_read(moment(start, 0), store.read(), 7).expect("it is free");
-    let end = store.write(&write, store.era);
-    lease.on_write_outcome(moment(start, 10), end);
+    let outcome = store.write(&write, store.era);
+    lease.on_write_outcome(moment(start, 10), outcome);
     lease
 }
 
@@ -84,8 +84,8 @@
     lease.on_restored(moment(start, 1_000));
     let is_held = lease.fence(moment(start, 1_000)).is_some();
     let write = lease.on_read(moment(start, 1_100), store.read(), 8).expect("it is renewed");
-    let end = store.write(&write, store.era);
-    lease.on_write_outcome(moment(start, 1_110), end);
+    let outcome = store.write(&write, store.era);
+    lease.on_write_outcome(moment(start, 1_110), outcome);
 
     assert!(is_held);
     assert_eq!(lease.state(), LeaseState::Held);
@@ -196,8 +196,8 @@
                 racer.lease.on_write_outcome(now, WriteOutcome::Lost);
             }
             _ => {
-                let end = store.write(&write, racer.era);
-                racer.lease.on_write_outcome(now, end);
+                let outcome = store.write(&write, racer.era);
+                racer.lease.on_write_outcome(now, outcome);
             }
         }
         return Ok(());
