--- a/crates/sillbank_membership/src/lib.rs
+++ b/crates/sillbank_membership/src/lib.rs
@@ -3,7 +3,7 @@
 //! Each VM probes one VM of its own hall per interval, first directly, then through two others. A
 //! VM that does not answer is suspected, and declared dead if it does not refute the suspicion.
 //! Updates about VMs are piggybacked on every datagram. Only a few delegates of each hall contact
-//! other halls, and VMs of other halls are never suspected.
+//! other halls, and no VM suspects VMs of other halls.
 //!
 //! Pure: datagrams and the time are inputs, datagrams to send are outputs.
 
@@ -28,9 +28,10 @@
 const INDIRECT_PROBES: usize = 2;
 /// Number of VMs per hall that contact other halls.
 const DELEGATES: usize = 2;
-/// Intervals between a delegate's contacts to another hall.
+/// Intervals between a delegate's contacts with other halls.
 const CROSS_HALL_INTERVALS: u64 = 3;
-/// Intervals between requests to the seeds by a VM that is alone in its hall.
+/// Intervals between requests to the seeds by a VM that knows only VMs of other halls. One that knows
+/// no other VM sends requests in every interval.
 const SEED_RETRY_INTERVALS: u64 = 10;
 /// Updates about other VMs that are piggybacked on one datagram.
 const MAX_PIGGYBACKED_UPDATES: usize = 8;
@@ -132,7 +133,7 @@
         &self.members
     }
 
-    /// Names of the VMs of the own hall that are neither dead nor gone, including this one.
+    /// Names of the VMs of the own hall that have neither died nor left, including this one.
     pub fn hall_vms(&self) -> Vec<&str> {
         let own = std::iter::once(self.config.vm.as_str()).filter(|_| !self.has_left);
         own.chain(self.members.live_in(&self.config.hall).map(|m| m.update.vm.as_str())).collect()
@@ -153,7 +154,8 @@
             .replace(now)
             .is_some_and(|last| now.saturating_duration_since(last) > self.config.interval * 3);
         if was_paused {
-            // While this process was frozen it could not receive the answers of others.
+            // This process was frozen and could not receive answers, so missing ones say nothing about
+            // other VMs.
             self.probe = None;
             self.members.renew_suspicions(now);
         }
@@ -293,7 +295,7 @@
     /// Handles a probe that was not answered within its interval: probes through other VMs first,
     /// then suspects the target.
     fn check_probe(&mut self, now: Instant, summary: Summary, actions: &mut Vec<MembershipAction>) {
-        // Most of that many relayed probes are old and will not be answered.
+        // With so many of them, most are old ones that will not be answered any more.
         if self.relayed_probes.len() > 64 {
             self.relayed_probes.clear();
         }
--- a/crates/sillbank_membership/src/members.rs
+++ b/crates/sillbank_membership/src/members.rs
@@ -33,6 +33,7 @@
 pub struct Members {
     members: BTreeMap<VmId, Member>,
     to_probe: Vec<VmId>,
+    /// XOR of the hashes of the newest updates.
     digest: u64,
 }
 
@@ -163,7 +164,7 @@
     }
 
     fn put(&mut self, now: Instant, update: MemberUpdate) {
-        // An update reaches all VMs in O(log n) gossip rounds.
+        // An update reaches all VMs in O(log n) gossip rounds, so it is sent a few times that often.
         let transmissions_left = 3 * (self.members.len() + 2).ilog2() + 3;
         self.digest ^= update_hash(&update);
         let old = self
--- a/crates/sillbank_membership/tests/gossip.rs
+++ b/crates/sillbank_membership/tests/gossip.rs
@@ -144,7 +144,7 @@
     let suspected = network.vms[3].members().all().any(|m| m.update.state != MemberState::Alive);
     network.rounds(20);
 
-    assert!(!suspected, "its own pause says nothing about others");
+    assert!(!suspected, "answers missed during its own pause do not count");
     assert!(network.all_alive());
 }
 
@@ -333,16 +333,17 @@
 fn out_of_order_datagrams_are_both_accepted() {
     let mut network = Network::new(2, 1);
     network.rounds(3);
-    let to_first = network.vms[1].broadcast_news(Summary { complete: 7, ..Summary::default() });
-    let after = network.vms[1].broadcast_news(Summary { complete: 8, ..Summary::default() });
+    let sent_first = network.vms[1].broadcast_news(Summary { complete: 7, ..Summary::default() });
+    let sent_second = network.vms[1].broadcast_news(Summary { complete: 8, ..Summary::default() });
     let datagram = |actions: &[MembershipAction]| match &actions[0] {
         MembershipAction::Send(_, datagram) => (**datagram).clone(),
         MembershipAction::Heard { .. } => unreachable!("a broadcast only sends"),
     };
 
-    let second = network.vms[0].on_datagram(network.now, datagram(&after), Summary::default());
-    let first = network.vms[0].on_datagram(network.now, datagram(&to_first), Summary::default());
-    let again = network.vms[0].on_datagram(network.now, datagram(&to_first), Summary::default());
+    let second =
+        network.vms[0].on_datagram(network.now, datagram(&sent_second), Summary::default());
+    let first = network.vms[0].on_datagram(network.now, datagram(&sent_first), Summary::default());
+    let again = network.vms[0].on_datagram(network.now, datagram(&sent_first), Summary::default());
 
     assert!(!second.is_empty());
     assert!(!first.is_empty(), "it only arrived out of order");
