--- a/crates/sillbank_orders/tests/orders.rs
+++ b/crates/sillbank_orders/tests/orders.rs
@@ -126,14 +126,17 @@
             let (id, assigned) = (named.id.clone(), named.assigned);
             orders += 1;
             limiter.record_order("p", now);
-            let place = engines.iter().position(|e| e.id == id).expect("it is one of them");
+            let index = engines.iter().position(|e| e.id == id).expect("it is one of them");
             let loading = Report { layers: assigned, loading: true, at: now };
-            engines[place].report = Some(loading);
+            engines[index].report = Some(loading);
             for layer in 0..8 {
-                let kept = is_served(&engines, layer) || !is_assigned(&engines, layer);
-                assert!(kept || !before[usize::from(layer)], "no engine serves layer {layer}");
+                let is_allowed = is_served(&engines, layer) || !is_assigned(&engines, layer);
+                assert!(
+                    is_allowed || !before[usize::from(layer)],
+                    "no engine serves layer {layer}"
+                );
             }
-            engines[place].report = Some(Report { loading: false, ..loading });
+            engines[index].report = Some(Report { loading: false, ..loading });
         }
         Ok(())
     });
--- a/crates/sillbank_spread/src/readiness.rs
+++ b/crates/sillbank_spread/src/readiness.rs
@@ -1,6 +1,6 @@
 //! When a VM may serve settings that it pulled from peers, without an answer of the platform.
 
-/// Number of VMs that must have sent a summary, if that many are known.
+/// Number of VMs that must have sent a summary; if fewer are known, all of them must have.
 pub const MIN_PEERS_HEARD: usize = 3;
 
 /// What a VM knows of its peers' settings.
@@ -8,7 +8,7 @@
 pub struct PeerView {
     /// Number of VMs that have sent a summary.
     pub heard: usize,
-    /// Number of known live VMs, including this one.
+    /// Number of known live VMs, without this one.
     pub known: usize,
     /// Newest version in recent summaries.
     pub newest: Option<u64>,
--- a/crates/sillbank_spread/tests/settling.rs
+++ b/crates/sillbank_spread/tests/settling.rs
@@ -20,6 +20,6 @@
 
 /// With fewer known VMs than the minimum, all of them suffice.
 #[test]
-fn two_known_vms_are_enough_in_a_hall_of_two() {
+fn two_peers_are_enough_if_no_others_are_known() {
     assert!(may_serve(PeerView { heard: 2, known: 2, ..PULLED }));
 }
--- a/crates/sillbank_spread/tests/spread.rs
+++ b/crates/sillbank_spread/tests/spread.rs
@@ -32,10 +32,10 @@
         for _ in 0..u.int_in_range(0..=120)? {
             let object = u.choose(&history)?.clone();
 
-            let taken = store.apply(object.clone());
+            let was_stored = store.apply(object.clone());
 
             let before: u64 = held.get(&object.key).copied().unwrap_or(0);
-            assert_eq!(taken, object.version > before);
+            assert_eq!(was_stored, object.version > before);
             held.insert(object.key.clone(), before.max(object.version));
         }
         assert_eq!(store.newest(), held.values().copied().max().unwrap_or(0));
