--- a/crates/sillbank_once/src/claims.rs
+++ b/crates/sillbank_once/src/claims.rs
@@ -12,7 +12,8 @@
 #[derive(Debug, Default)]
 pub struct Claims {
     claims: HashMap<RequestUid, Claim>,
-    /// Keys with the times of their claims, oldest first.
+    /// Keys with the times of their claims, oldest first. Claims that were handed over are in no
+    /// particular order, so some of them are kept longer than the retention.
     by_time: VecDeque<(u64, RequestUid)>,
     /// Unix time in milliseconds; keys claimed before it may be missing.
     complete_from_ms: u64,
--- a/crates/sillbank_once/tests/holders.rs
+++ b/crates/sillbank_once/tests/holders.rs
@@ -77,7 +77,7 @@
         let Some(write) = self.vms[number].in_flight.take() else {
             return Ok(());
         };
-        let end = match u.int_in_range(0..=5)? {
+        let outcome = match u.int_in_range(0..=5)? {
             0 => {
                 self.vms[number].late.push(write);
                 WriteOutcome::Lost
@@ -89,7 +89,7 @@
             _ => self.apply(&write),
         };
         let now = self.now();
-        self.vms[number].slot.lease.on_write_outcome(now, end);
+        self.vms[number].slot.lease.on_write_outcome(now, outcome);
         self.vms[number].slot.sync_claims(now);
         Ok(())
     }
@@ -113,11 +113,11 @@
             self.vms[number].in_flight = None;
             return Ok(());
         };
-        let reached = u.ratio(3, 4)?;
-        if reached {
+        let is_delivered = u.ratio(3, 4)?;
+        if is_delivered {
             self.vms[heir].slot.receive_claims(now, claims, from);
         }
-        let named = reached.then(|| format!("vm{heir}"));
+        let named = is_delivered.then(|| format!("vm{heir}"));
         let mark = self.ms * 8 + number as u64;
         if let Some(write) = self.vms[number].slot.lease.release(now, mark, named) {
             match u.ratio(1, 4)? {
--- a/crates/sillbank_once/tests/once.rs
+++ b/crates/sillbank_once/tests/once.rs
@@ -49,13 +49,13 @@
 fn after_takeover_only_newer_keys_are_granted_until_retention_ends() {
     let mut claims = Claims::after_takeover(1_000_000);
 
-    let own_key = claims.claim(1_010_000, uid(1), None, 1, RETENTION);
+    let callers_key = claims.claim(1_010_000, uid(1), None, 1, RETENTION);
     let minted_before = claims.claim(1_010_000, uid(2), Some(999_000), 2, RETENTION);
     let minted_within_clock_skew = claims.claim(1_010_000, uid(3), Some(1_003_000), 3, RETENTION);
     let minted_after = claims.claim(1_010_000, uid(4), Some(1_006_000), 4, RETENTION);
     let later = claims.claim(1_600_001, uid(1), None, 5, RETENTION);
 
-    assert_eq!(own_key, ClaimAnswer::Undetermined { wait_ms: 590_000 });
+    assert_eq!(callers_key, ClaimAnswer::Undetermined { wait_ms: 590_000 });
     assert!(matches!(minted_before, ClaimAnswer::Undetermined { .. }));
     assert!(matches!(minted_within_clock_skew, ClaimAnswer::Undetermined { .. }));
     assert_eq!(minted_after, ClaimAnswer::Granted(4));
