--- a/crates/sillbank_routing/src/chain.rs
+++ b/crates/sillbank_routing/src/chain.rs
@@ -31,8 +31,9 @@
 }
 
 /// Chooses the earliest predicted completion. The prediction adds up the outstanding prefills, the prefill of
-/// the request itself, and the endpoint's usual time per token, which includes queueing and network, with one
-/// more request in the batch. Its name in settings is `least_finish`.
+/// the request itself, and for each token the endpoint's usual time, which includes queueing and network, raised
+/// by the requests that this VM added since the last report. The sum is weighted by the engine's backlog and a
+/// random jitter. Its name in settings is `least_finish`.
 #[derive(Debug, Clone, Default)]
 pub struct EarliestFinish;
 
@@ -200,8 +201,8 @@
 
 /// Returns the chain of lowest cost that covers the layers of a request, or `None` if no chain does.
 ///
-/// Ejected endpoints are used only if no chain exists without them, so that a hall cannot eject all of its
-/// endpoints. Leaving endpoints are never used.
+/// Ejected, disconnected and full endpoints are used only if no chain exists without them, so that a hall cannot
+/// eject all of its endpoints. Leaving endpoints are never used.
 pub fn choose_chain<P: ChainPolicy>(
     table: &EndpointTable,
     request: &ChainRequest<'_>,
@@ -241,7 +242,7 @@
                 continue;
             }
             let end = held.end.min(layers.end);
-            // An endpoint that runs only a part of its layers costs the same part.
+            // An endpoint that runs only some of its layers costs the same fraction of its full cost.
             let part = f64::from(end - first) / held.len() as f64;
             let total = best[boundary].cost + cost * part;
             let cover = &mut best[usize::from(end - layers.first)];
--- a/crates/sillbank_routing/src/cost.rs
+++ b/crates/sillbank_routing/src/cost.rs
@@ -19,7 +19,9 @@
     elapsed_us: f64,
     run_us: f64,
     batch: f64,
+    /// Average square of the batch size, for the regression.
     batch_square: f64,
+    /// Average product of batch time and batch size, for the regression.
     run_batch: f64,
     queued: f64,
     prefill_us_per_token: f64,
@@ -53,7 +55,8 @@
         self.seen.then_some(self.elapsed_us)
     }
 
-    /// Expected time of a decode step with `added` more requests than at the last report.
+    /// Expected time of a decode step with `added` more requests than at the last report, or `None` before the
+    /// first decode step.
     pub fn expected_us(&self, added: u32) -> Option<f64> {
         let known = self.elapsed_us()?;
         Some(known + self.marginal_us().max(known / 64.0) * f64::from(added))
--- a/crates/sillbank_routing/src/health.rs
+++ b/crates/sillbank_routing/src/health.rs
@@ -77,7 +77,9 @@
 #[derive(Debug, Clone)]
 pub struct Health {
     state: HealthState,
+    /// When the state was entered or, if later, when a failed probe last extended an ejection.
     since: Instant,
+    /// Consecutive ejections, including failed probes; reset when a slow start is over.
     ejections: u32,
 }
 
--- a/crates/sillbank_routing/src/table.rs
+++ b/crates/sillbank_routing/src/table.rs
@@ -86,6 +86,8 @@
     }
 
     /// Returns the endpoints that may serve a request, each with the share of its usual requests it should receive.
+    ///
+    /// With `last_resort`, ejected, disconnected and full endpoints are included, with a share of 0.1.
     pub fn candidates(
         &self,
         request: &ChainRequest<'_>,
@@ -101,7 +103,7 @@
             .collect()
     }
 
-    /// Returns the ratio of queued steps to steps in a batch at the engine of a chain where it is highest.
+    /// Returns the highest ratio of queued steps to steps in a batch among the engines of a chain.
     pub fn backlog(&self, chain: &[ChainLink]) -> f64 {
         let backlogs = chain.iter().map(|link| self.get(link.endpoint).cost.backlog());
         backlogs.fold(0.0, f64::max)
--- a/crates/sillbank_routing/tests/routing.rs
+++ b/crates/sillbank_routing/tests/routing.rs
@@ -101,7 +101,7 @@
     let without_other = choose(&table, now);
 
     assert_eq!(with_other[0].endpoint, 1);
-    assert!(without_other.is_some(), "a hall never ejects itself empty");
+    assert!(without_other.is_some(), "a hall cannot eject all of its endpoints");
 }
 
 /// A leaving endpoint receives no new requests, even if there is no other.
@@ -170,11 +170,11 @@
     health.on_event(now, HealthEvent::Failure);
     let mut waits = Vec::new();
     for _ in 0..8 {
-        let begun = now;
+        let ejected_at = now;
         while !health.probe_due(now, &limits) {
             now += Duration::from_millis(100);
         }
-        waits.push(now - begun);
+        waits.push(now - ejected_at);
         health.on_event(now, HealthEvent::ProbeFailed);
     }
 
@@ -226,9 +226,9 @@
         table.get_mut(1).cost.observe(Duration::from_millis(80), &load(70_000), 1);
     }
 
-    let quick = table.get(0).cost.silence_limit(0, ceiling);
+    let fast = table.get(0).cost.silence_limit(0, ceiling);
     let slow = table.get(1).cost.silence_limit(0, ceiling);
 
-    assert!(quick < Duration::from_millis(200), "{quick:?}");
+    assert!(fast < Duration::from_millis(200), "{fast:?}");
     assert!(slow > Duration::from_millis(400) && slow < ceiling, "{slow:?}");
 }
--- a/crates/sillbank_routing/tests/subset.rs
+++ b/crates/sillbank_routing/tests/subset.rs
@@ -32,18 +32,21 @@
         let vms = names("vm", salt, 300);
         let endpoints = names("e", salt, u.int_in_range(4..=20)?);
 
-        let mut kept: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut vm_counts: BTreeMap<&str, usize> = BTreeMap::new();
         for vm in &vms {
             base_subset(vm, &endpoints)
                 .into_iter()
-                .for_each(|id| *kept.entry(id).or_default() += 1);
+                .for_each(|id| *vm_counts.entry(id).or_default() += 1);
         }
 
         // The standard deviation of the number of VMs at an endpoint is the root of its mean; five of them are allowed.
         let mean = (vms.len() * BASE_SIZE) as f64 / endpoints.len() as f64;
         let bounds = mean - 5.0 * mean.sqrt()..=mean + 5.0 * mean.sqrt();
-        assert_eq!(kept.len(), endpoints.len());
-        assert!(kept.values().all(|count| bounds.contains(&(*count as f64))), "{mean}: {kept:?}");
+        assert_eq!(vm_counts.len(), endpoints.len());
+        assert!(
+            vm_counts.values().all(|count| bounds.contains(&(*count as f64))),
+            "{mean}: {vm_counts:?}"
+        );
         Ok(())
     });
 }
