--- a/crates/sillbank_generation/src/lib.rs
+++ b/crates/sillbank_generation/src/lib.rs
@@ -49,7 +49,7 @@
     pub end_token: TokenId,
     /// Layers of each stage, in order.
     pub stages: Vec<LayerRange>,
-    /// Number of stage losses after which the request fails.
+    /// Maximum number of stage losses; a further loss fails the request.
     pub max_losses: u32,
 }
 
@@ -111,7 +111,9 @@
     state: State,
     attempt: Attempt,
     stages: Stages,
+    /// Stage, first position and number of positions of the step whose reply is awaited.
     awaited: Option<(StageIndex, Position, u32)>,
+    /// Tokens of the prompt and of the answer so far.
     sequence: Vec<TokenId>,
     run: RunLog,
     stats: GenerationStats,
@@ -185,9 +187,9 @@
         if matches!((&event, self.state), (Event::Start, State::Running)) {
             self.emit_undelivered(actions);
         }
-        let named = self.classify(&event);
+        let chart_event = self.classify(&event);
         let chart: &GenerationChart = chart::chart();
-        let Some(transition) = chart.step(self.state, named) else {
+        let Some(transition) = chart.step(self.state, chart_event) else {
             return;
         };
         self.state = transition.to;
--- a/crates/sillbank_generation/src/stages.rs
+++ b/crates/sillbank_generation/src/stages.rs
@@ -6,8 +6,11 @@
 #[derive(Debug)]
 struct Stage {
     layers: LayerRange,
+    /// Input of each position: tokens for the first stage, outputs of the previous stage for the others.
     inputs: Vec<u64>,
+    /// Number of positions in the KV cache of the stage.
     built: Position,
+    /// Whether the stage was lost and has no new endpoint yet.
     missing: bool,
 }
 
--- a/crates/sillbank_generation/tests/awaited.rs
+++ b/crates/sillbank_generation/tests/awaited.rs
@@ -3,8 +3,8 @@
 //! An endpoint may answer an abandoned step late, or answer a step twice that was sent twice, while a newer step of
 //! the same request is in flight to it. If such a stale reply is matched by the request alone, it removes the newer
 //! step, whose own reply is then dropped, and the caller receives nothing until the deadline. This shows as requests
-//! that stay in flight after their stages were replaced, each with `"expected": false` in the status of the entry and
-//! one more of `sillbank_entry_stale_replies_total`.
+//! that stay in flight after a log line such as "was silent for 152 ms; 2 stages are replaced", each with
+//! `"expected": false` in the status of the entry and one more of `sillbank_entry_stale_replies_total`.
 
 #![allow(clippy::unwrap_used)]
 
@@ -254,7 +254,7 @@
                 return;
             }
         }
-        panic!("it never ends: {:?}", self.generation.state());
+        panic!("the generation does not end: {:?}", self.generation.state());
     }
 }
 
--- a/crates/sillbank_generation/tests/interleavings.rs
+++ b/crates/sillbank_generation/tests/interleavings.rs
@@ -171,9 +171,11 @@
                 self.handle(Event::StepOverdue(stage));
             }
         }
-        panic!("it never ends: {:?}", self.generation.state());
+        panic!("the generation does not end: {:?}", self.generation.state());
     }
 
+    /// Checks that the attempts of each engine only increase, that each step of an attempt continues after the
+    /// previous one or starts again at position 0, and that it runs each layer once.
     fn check_ledgers(&self) {
         for engine in self.engines.iter().flatten() {
             let mut last: Option<(Attempt, Position)> = None;
@@ -212,7 +214,7 @@
         world.check_ledgers();
         if !world.restarted && world.failed.is_none() {
             let losses = world.generation.stats().losses;
-            assert_eq!(losses, world.reported, "something was built again without a cause");
+            assert_eq!(losses, world.reported, "a stage was rebuilt without a reported loss");
         }
         assert!(expected.starts_with(&world.emitted), "{:?}", world.emitted);
         match &world.failed {
@@ -259,8 +261,8 @@
     let attempts = |stage: usize, engine: usize| -> Vec<Position> {
         world.engines[stage][engine].ledger.iter().filter(|e| e.start == 0).map(|e| e.end).collect()
     };
-    assert_eq!(attempts(0, 0).len(), 1, "the first stage never began anew");
-    assert_eq!(attempts(2, 0).len(), 1, "the last stage never began anew");
+    assert_eq!(attempts(0, 0).len(), 1, "the first stage was not rebuilt");
+    assert_eq!(attempts(2, 0).len(), 1, "the last stage was not rebuilt");
     assert_eq!(attempts(1, 1).len(), 1, "the new endpoint built the lost stage");
 }
 
@@ -308,7 +310,11 @@
     assert!(world.finished, "{:?}", world.failed);
     let own = world.generation.attempt();
     assert!(own > ahead.attempt);
-    assert_eq!(own % ATTEMPT_INCREMENT, 5, "it keeps its own draw, so two newcomers never meet");
+    assert_eq!(
+        own % ATTEMPT_INCREMENT,
+        5,
+        "it keeps its random bits, so two new generations differ"
+    );
 }
 
 /// A resumed answer does not deliver the tokens that the caller already has.
