--- a/crates/sillbank_net/src/body.rs
+++ b/crates/sillbank_net/src/body.rs
@@ -48,7 +48,7 @@
         (outbox, body)
     }
 
-    /// Appends to the buffer by a function and wakes the sender.
+    /// Lets `write` append to the buffer, and wakes the task that sends the body.
     pub fn write_with(&self, write: impl FnOnce(&mut BytesMut)) {
         let mut state = self.state.borrow_mut();
         if state.closed || state.reader_closed {
@@ -176,8 +176,8 @@
     /// Counts the unread bytes of the body from now on.
     fn track_in(&self, unread: &UnreadBytes) {
         match self {
-            Self::Full(whole) => {
-                unread.on_queued(whole.size_hint().exact().unwrap_or(0) as usize);
+            Self::Full(full) => {
+                unread.on_queued(full.size_hint().exact().unwrap_or(0) as usize);
             }
             Self::Stream(stream) => {
                 let mut state = stream.state.borrow_mut();
@@ -241,7 +241,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match self.get_mut() {
-            Self::Full(whole) => Pin::new(whole)
+            Self::Full(full) => Pin::new(full)
                 .poll_frame(context)
                 .map(|frame| frame.map(|frame| frame.map_err(|never| match never {}))),
             Self::Stream(stream) => {
@@ -252,14 +252,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Full(whole) => whole.is_end_stream(),
+            Self::Full(full) => full.is_end_stream(),
             Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Full(whole) => whole.size_hint(),
+            Self::Full(full) => full.size_hint(),
             Self::Stream(_) => SizeHint::default(),
         }
     }
--- a/crates/sillbank_net/src/memory_budget.rs
+++ b/crates/sillbank_net/src/memory_budget.rs
@@ -223,8 +223,8 @@
 
     /// Records that the rest of a body will not be taken.
     pub fn on_dropped(&self) {
-        let waiting = self.registration.connection.queued_bytes.take();
-        self.registration.state.remove(waiting);
+        let queued = self.registration.connection.queued_bytes.take();
+        self.registration.state.remove(queued);
     }
 
     /// Records that bytes were written to the connection, which counts as read by the peer. Heads and framing count
@@ -239,8 +239,8 @@
 
     /// Counts bytes transferred over the connection in either direction.
     pub fn on_transferred(&self, bytes: usize) {
-        let passed = &self.registration.state.transferred_bytes;
-        passed.set(passed.get() + bytes as u64);
+        let total_bytes = &self.registration.state.transferred_bytes;
+        total_bytes.set(total_bytes.get() + bytes as u64);
     }
 
     /// Returns the number of the connection, unique within its budget.
