--- a/crates/sillbank_settings/src/process.rs
+++ b/crates/sillbank_settings/src/process.rs
@@ -140,7 +140,7 @@
             source: source.clone(),
             path: "(file)".to_owned(),
             reason: e.to_string(),
-            remedy: "check the path and its rights".to_owned(),
+            remedy: "check the path and its permissions".to_owned(),
         }])
     })?;
     read_text(&source, &text)
