--- a/crates/sillbank_cli/src/apply.rs
+++ b/crates/sillbank_cli/src/apply.rs
@@ -1,4 +1,4 @@
-//! `sillbank apply`, `diff` and `delete`: find_changes to the settings tree.
+//! `sillbank apply`, `diff` and `delete`: changes to the settings tree.
 
 use crate::CommandError;
 use crate::check::read_files;
--- a/crates/sillbank_cli/src/check.rs
+++ b/crates/sillbank_cli/src/check.rs
@@ -73,6 +73,6 @@
         source: path.display().to_string(),
         path: "(file)".to_owned(),
         reason: error.to_string(),
-        remedy: "check the path and its rights".to_owned(),
+        remedy: "check the path and its permissions".to_owned(),
     }]))
 }
--- a/crates/sillbank_cli/src/request_trace.rs
+++ b/crates/sillbank_cli/src/request_trace.rs
@@ -27,7 +27,7 @@
 /// Prints every log line about a request, and the events of the endpoints it was sent to.
 ///
 /// # Errors
-/// If a file cannot be read, or no line has the request.
+/// If a file cannot be read, or no line is about the request.
 pub(crate) fn print(request: &str, files: &[PathBuf]) -> Result<(), CommandError> {
     let mut lines = Vec::new();
     for file in files {
@@ -35,8 +35,10 @@
     }
     let selected = select(lines, request);
     if selected.is_empty() {
-        let remedy = "name the log files of all VMs of its hall; lines may have been left out";
-        return Err(CommandError::Other(format!("No line has request {request}; {remedy}.")));
+        let remedy = "name the log files of all VMs of its hall; log lines may have been dropped";
+        return Err(CommandError::Other(format!(
+            "No log line is about request {request}; {remedy}."
+        )));
     }
     for line in selected {
         println!("{}: {}", line.file, line.text);
@@ -88,8 +90,8 @@
     found.collect()
 }
 
-/// Parses the first word of a line that is a time, such as `2026-12-02T14:14:40.436951Z`, into
-/// seconds of the day. Up to three words may precede it, such as those that log collectors add.
+/// Finds the first word of a line that is a time, such as `2026-12-02T14:14:40.436951Z`, and
+/// returns its seconds of the day. Log collectors may put up to three words before it.
 fn read_time(text: &str) -> Option<f64> {
     text.split_whitespace().take(4).find_map(|word| {
         let (_, clock) = word.split_once('T')?;
--- a/crates/sillbank_cli/tests/story.rs
+++ b/crates/sillbank_cli/tests/story.rs
@@ -37,8 +37,8 @@
         .unwrap()
 }
 
-/// Lines of the request and recent events of its endpoints are printed in the order of time, with
-/// their files; older events and other requests are left out.
+/// Lines of the request and recent events of its endpoints are printed in order of time, each
+/// with the name of its file; older events and other requests are left out.
 #[test]
 fn lines_of_a_request_and_of_its_endpoints_are_printed_in_order() {
     let files = log_files("order");
@@ -63,7 +63,7 @@
     assert!(!text.contains("long ago") && !text.contains("r2"));
 }
 
-/// A request that no line has is an error that says which log files to give.
+/// A request that no log line is about is an error that says which log files to give.
 #[test]
 fn an_unknown_request_is_an_error_with_a_remedy() {
     let files = log_files("unknown");
