--- a/crates/sillbank_gateway/tests/answers.rs
+++ b/crates/sillbank_gateway/tests/answers.rs
@@ -13,9 +13,9 @@
     Ran,
 }
 
-fn log_of(ends: &[SendResult]) -> RunLog {
+fn run_log(results: &[SendResult]) -> RunLog {
     let mut log = RunLog::default();
-    for end in ends {
+    for end in results {
         log.record_sent();
         match end {
             SendResult::RefusedWithProof => log.record_refused(),
@@ -31,13 +31,13 @@
 #[test]
 fn only_requests_proven_not_run_get_a_retry_guarantee() {
     for_fixed_seeds(500, 64, |u| {
-        let mut ends = Vec::new();
+        let mut results = Vec::new();
         for _ in 0..u.int_in_range(0..=5)? {
             let end = [SendResult::RefusedWithProof, SendResult::NoAnswer, SendResult::Ran];
-            ends.push(*u.choose(&end)?);
+            results.push(*u.choose(&end)?);
         }
-        let log = log_of(&ends);
-        let may_have_run = ends.iter().any(|end| *end != SendResult::RefusedWithProof);
+        let log = run_log(&results);
+        let may_have_run = results.iter().any(|end| *end != SendResult::RefusedWithProof);
         let refusal = *u.choose(&[
             FailureKind::NoChain,
             FailureKind::Overloaded,
@@ -46,8 +46,12 @@
         ])?;
 
         for failure in [final_failure(log, refusal, "why"), deadline_failure(log)] {
-            assert_eq!(guarantees_not_run(failure.kind.http_status()), !may_have_run, "{ends:?}");
-            assert_eq!(failure.retry_after.is_some(), !may_have_run, "{ends:?}");
+            assert_eq!(
+                guarantees_not_run(failure.kind.http_status()),
+                !may_have_run,
+                "{results:?}"
+            );
+            assert_eq!(failure.retry_after.is_some(), !may_have_run, "{results:?}");
         }
         Ok(())
     });
--- a/crates/sillbank_gateway/tests/call_book.rs
+++ b/crates/sillbank_gateway/tests/call_book.rs
@@ -17,16 +17,17 @@
 }
 
 fn two_seconds_before(now: Instant) -> Instant {
-    now.checked_sub(Duration::from_secs(2)).expect("the machine runs for longer")
+    now.checked_sub(Duration::from_secs(2)).expect("the machine has run for two seconds")
 }
 
 /// Whether a call with 800 ms left may go to the timed endpoint. The decision is made as of a
 /// moment before anything was recorded, so that nothing ages however long the test takes.
 fn accepts_calls(tracker: &CallTracker, now: Instant) -> bool {
     let watched = CallCandidate { endpoint: WATCHED, is_local: true, in_flight: 0, slots: 6 };
-    let ask = CallRequest { time_left: Duration::from_millis(800), is_idempotent: false, rank: 0 };
+    let request =
+        CallRequest { time_left: Duration::from_millis(800), is_idempotent: false, rank: 0 };
     let choose = |balancer: &mut sillbank_admission::calls::CallBalancer| {
-        balancer.choose(&[watched], ask, now, || 0.5)
+        balancer.choose(&[watched], request, now, || 0.5)
     };
     tracker.with(SERVICE, choose) == CallDecision::Send(0)
 }
--- a/crates/sillbank_gateway/tests/endpoints.rs
+++ b/crates/sillbank_gateway/tests/endpoints.rs
@@ -16,7 +16,7 @@
     (Rc::default(), Instant::now())
 }
 
-/// Failures and refused parts only raise an engine's cost, and only for a while.
+/// Failures and refused parts of a path only raise an engine's cost, and only for a while.
 #[test]
 fn lost_answers_and_refusals_exclude_no_engine() {
     let (tracker, now) = tracker();
@@ -83,7 +83,7 @@
 
 /// An ejected endpoint gets one trial request at a time.
 #[test]
-fn a_lost_plain_endpoint_gets_one_trial_request_at_a_time() {
+fn an_ejected_endpoint_gets_one_trial_request_at_a_time() {
     let (tracker, now) = tracker();
     tracker.on_evidence(ID, Evidence::Unreachable, now);
     let later = now + Duration::from_secs(2);
@@ -124,7 +124,7 @@
 
 /// A refused connection during a stalled stream shows that the engine is lost.
 #[test]
-fn an_engine_that_refuses_a_call_while_a_stream_stands_still_is_lost() {
+fn an_engine_that_refuses_a_connection_while_a_stream_is_stalled_is_lost() {
     let probes = probes(&[("a", Probe::Silent), ("b", Probe::Refused), ("c", Probe::Silent)]);
 
     let lost = lost_engines(&probes);
--- a/crates/sillbank_gateway/tests/fleet_sources.rs
+++ b/crates/sillbank_gateway/tests/fleet_sources.rs
@@ -1,9 +1,9 @@
-//! Whatever VMs of a fleet the store refuses, no VM that reaches it, or hears from one that does,
-//! keeps outdated knowledge.
+//! Every VM that reaches the store, directly or through other VMs, stays up to date, whichever VMs
+//! the store refuses or ignores.
 //!
 //! The fleet is simulated in steps of 10 ms: leaders follow the store and each other, VMs follow
 //! their leader, and each looks for another source by the gateway's own rules. The store answers
-//! after 5 ms, refuses, or is silent, and links between VMs are cut.
+//! each VM after 10 ms, refuses it, or does not answer it.
 
 mod support;
 
@@ -56,8 +56,8 @@
 
         fleet.run(10_000, |_| {});
 
-        let least_wait_ms = 10_000 / (fleet.calls() - before).max(1);
-        assert!(least_wait_ms >= 200, "{bound_ms}: a call each {least_wait_ms} ms");
+        let min_interval_ms = 10_000 / (fleet.calls() - before).max(1);
+        assert!(min_interval_ms >= 200, "{bound_ms}: a call each {min_interval_ms} ms");
         assert!(fleet.callers_since_settled() <= 1, "{bound_ms}");
         assert!(fleet.oldest() < bound(bound_ms) / 2 + Duration::from_millis(50), "{bound_ms}");
     }
@@ -80,9 +80,9 @@
     }
 }
 
-/// In addition, the store loses all answers for a second, just when other VMs take over.
+/// In addition, the store answers no VM for half a second, just when other VMs take over.
 #[test]
-fn a_second_of_lost_answers_leaves_time_for_another_call() {
+fn half_a_second_of_lost_answers_leaves_time_for_another_call() {
     let cases = [3_000, 4_000].into_iter().flat_map(cases_of_bound);
     for (bound_ms, vms, seed) in cases {
         let mut fleet = fleet(seed, 5, vms, bound_ms);
@@ -189,7 +189,8 @@
     });
 }
 
-/// Until then, a VM whose updates are stale makes a short call and a watch.
+/// Until the next leader follows the store, a VM whose updates are stale makes a short call and a
+/// watch.
 #[test]
 fn a_handover_costs_no_other_vm_more_than_two_calls() {
     for_fixed_seeds(300, 64, |u| {
@@ -214,7 +215,7 @@
     });
 }
 
-/// The same in a large fleet.
+/// In a large fleet, too, only the next leader and the one that is cut off call the store.
 #[test]
 fn the_next_leader_follows_for_all_when_the_first_is_cut_from_the_store() {
     for seed in [SEED, REGRESSION_SEED] {
@@ -226,10 +227,13 @@
 
             let calls = handover.calls_in(window_ms);
 
-            let most = handover.max_calls_of_cut_leader(window_ms)
+            let call_limit = handover.max_calls_of_cut_leader(window_ms)
                 + handover.max_calls_of_following_leader(window_ms);
             assert_eq!(calls.members, 0, "{seed} {response:?}");
-            assert!(calls.leaders.iter().sum::<u64>() <= most, "{seed} {response:?}: {calls:?}");
+            assert!(
+                calls.leaders.iter().sum::<u64>() <= call_limit,
+                "{seed} {response:?}: {calls:?}"
+            );
         }
     }
 }
@@ -252,28 +256,29 @@
 
             // The watches of the source one after the other, and no other calls.
             let calls = fleet.calls_of_members() - before;
-            let most = max_calls(10_000, freshness.watch_wait.as_millis() as u64);
-            assert!(calls <= most, "seed {seed}, {vms} VMs: {calls} calls in 10 s");
+            let call_limit = max_calls(10_000, freshness.watch_wait.as_millis() as u64);
+            assert!(calls <= call_limit, "seed {seed}, {vms} VMs: {calls} calls in 10 s");
         }
     }
 }
 
-/// Whoever reaches the store, or follows a chain of VMs to one who does, knows what is older than
-/// the bound, whichever VMs the store refuses or ignores, over two changes.
+/// Every VM that reaches the store, directly or through other VMs, stays within the bound while the
+/// store twice changes which VMs it refuses or ignores.
 #[test]
 fn no_vm_connected_to_one_that_reaches_the_store_is_outdated() {
-    for_fixed_seeds(60, 1_024, knowledge_stays_fresh);
+    for_fixed_seeds(60, 1_024, confirmations_stay_fresh);
 }
 
 /// A hall loses the store silently for 6 s; then three of its seven followers reach it again, and
-/// their leader does not. When each follower paused up to 4 s between calls, knowledge was up to
-/// 8.3 s old.
+/// their leader does not. When each follower paused up to 4 s between calls, confirmations were up
+/// to 8.3 s old.
 #[test]
 fn followers_that_regain_the_store_first_update_their_leader_in_time() {
-    for_seed(8_336_531_522_560, knowledge_stays_fresh);
+    for_seed(8_336_531_522_560, confirmations_stay_fresh);
 }
 
-/// The same with changes at other moments: during pauses, calls, handovers and other changes.
+/// The same with three to five changes, at other moments: during pauses, calls, handovers and other
+/// changes.
 #[test]
 fn no_connected_vm_is_outdated_whenever_the_store_comes_and_goes() {
     for_fixed_seeds(60, 1_024, |u| {
@@ -281,17 +286,17 @@
         let windows_ms: Vec<u64> =
             (0..changes).map(|_| u.int_in_range(50..=900)).collect::<Result<_, _>>()?;
         // The fleet runs in steps of 10 ms.
-        knowledge_stays_fresh_over(u, windows_ms.iter().map(|window| window * 10))
+        confirmations_stay_fresh_over(u, windows_ms.iter().map(|window| window * 10))
     });
 }
 
-fn knowledge_stays_fresh(u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
-    knowledge_stays_fresh_over(u, [6_000, 6_000].into_iter())
+fn confirmations_stay_fresh(u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+    confirmations_stay_fresh_over(u, [6_000, 6_000].into_iter())
 }
 
 /// Changes which VMs are cut off from the store once for each window, and runs the fleet for that
 /// time.
-fn knowledge_stays_fresh_over(
+fn confirmations_stay_fresh_over(
     u: &mut Unstructured<'_>,
     windows_ms: impl Iterator<Item = u64>,
 ) -> arbitrary::Result<()> {
@@ -317,7 +322,7 @@
             if ran_ms < bound_ms {
                 return;
             }
-            let oldest = fleet.oldest_in_touch();
+            let oldest = fleet.oldest_if_store_is_reachable();
             assert!(oldest <= bound(bound_ms), "{bound_ms} {halls}x{vms} {share}%: {oldest:?}");
         });
     }
--- a/crates/sillbank_gateway/tests/freshness.rs
+++ b/crates/sillbank_gateway/tests/freshness.rs
@@ -39,7 +39,7 @@
         }
         ages.extend(hall.confirmation_age(updated_at));
         hall.on_leader_update(updated_at, Some(confirmed), false);
-        // The leader replies when it is confirmed anew, or after its wait.
+        // The leader replies when it has a later confirmation, or after its wait.
         let by_confirmation =
             (next_at(watch_sent) + NETWORK_DELAY).max(updated_at + 2 * NETWORK_DELAY);
         updated_at = (updated_at + LONG_POLL_WAIT + NETWORK_DELAY).min(by_confirmation);
--- a/crates/sillbank_gateway/tests/hall.rs
+++ b/crates/sillbank_gateway/tests/hall.rs
@@ -149,7 +149,7 @@
     assert!(!hall.leader_holds_lease(now));
 }
 
-/// A follower of every change and one that asks once end with the same state.
+/// A follower that asks after each change and one that asks once end with the same state.
 #[test]
 fn a_report_passed_on_in_parts_yields_the_same_state() {
     // Arrange: one VM asks after each change, another at the end.
@@ -215,11 +215,11 @@
             hall.report_published().await;
             true
         };
-        let post = async {
+        let publish = async {
             hall.publish_report(now, hall_report("a", 0, 1, 5));
             std::future::pending::<bool>().await
         };
-        assert!(futures_lite::future::or(report_published, post).await);
+        assert!(futures_lite::future::or(report_published, publish).await);
     });
 }
 
@@ -254,7 +254,7 @@
     std::net::SocketAddr::from(([10, 0, 0, number], 7000))
 }
 
-/// The follower with the highest score is chosen if it reaches the least score.
+/// The follower with the highest score is chosen if it reaches the minimum score.
 #[test]
 fn the_follower_with_the_highest_score_succeeds_if_it_is_high_enough() {
     let (hall, now) = (unknown_hall(), Instant::now());
@@ -436,9 +436,9 @@
     assert!(!before && hall.others_suffice(now));
 }
 
-/// Without a live leader other VMs are not counted on.
+/// Without a live leader a VM does not rely on other VMs to take requests.
 #[test]
-fn a_vm_without_a_live_leader_counts_on_no_others() {
+fn a_vm_without_a_live_leader_relies_on_no_others() {
     let (hall, now) = (unknown_hall(), Instant::now());
     hall.on_hall_vms(HallVms { vms: 4, fit: 4 });
 
--- a/crates/sillbank_gateway/tests/heard.rs
+++ b/crates/sillbank_gateway/tests/heard.rs
@@ -58,9 +58,9 @@
     assert_eq!(engines, vec!["a".to_owned(), "c".to_owned()]);
 }
 
-/// Guards against missing the loss of an engine that many streams pass: each received data at
-/// another time before the loss, so when one has been silent long enough to check, others received
-/// data after it.
+/// Guards against missing the loss of an engine that is on the paths of many streams. Each stream
+/// received its last data at a different time before the loss, so when one has been silent long
+/// enough to be checked, others have received data more recently.
 #[test]
 fn events_before_a_loss_do_not_confirm_the_lost_engine() {
     let (all, began) = (Rc::new(StreamActivity::default()), Instant::now());
--- a/crates/sillbank_gateway/tests/load.rs
+++ b/crates/sillbank_gateway/tests/load.rs
@@ -23,7 +23,7 @@
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-const HOME: &str = "a";
+const LOCAL_HALL: &str = "a";
 const OBJECTIVE: Duration = Duration::from_millis(500);
 const USUAL_LEFT: Duration = Duration::from_secs(2);
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
@@ -48,7 +48,7 @@
         id: id.to_owned(),
         service: "gen".to_owned(),
         address: "10.0.0.9:80".parse().expect("an address"),
-        hall: HOME.to_owned(),
+        hall: LOCAL_HALL.to_owned(),
         standing: Standing::Ready,
         slots: SLOTS,
         accelerator: Some("quick".to_owned()),
@@ -128,7 +128,7 @@
 
     fn report_engines(&self, after: Duration, leader: &str, engines: Vec<EngineState>) {
         let leader = leader.parse().expect("an address");
-        let hall = HOME.to_owned();
+        let hall = LOCAL_HALL.to_owned();
         let report = HallReport {
             hall,
             age_ms: 0,
@@ -200,8 +200,8 @@
     assert_eq!(answers, [Ok(()); 3]);
 }
 
-/// A caller that returns with less time than others of its route, after the objective, is shed
-/// first.
+/// A request whose remaining time is shorter than usual for its route by more than the objective is
+/// shed first.
 #[test]
 fn late_requests_are_shed_before_the_least_urgent() {
     let vm = Vm::new();
@@ -293,7 +293,7 @@
     assert_eq!(vm.fullness(Duration::ZERO), Some(1.0));
 }
 
-/// If no request can pass all layers, no capacity is known, and nothing is shed.
+/// If a layer is missing, no path exists and no capacity is known, so nothing is shed.
 #[test]
 fn engines_with_a_missing_layer_shed_nothing() {
     let vm = Vm::new();
@@ -358,7 +358,7 @@
 
 /// Requests are counted by rank and outcome; ranks beyond the last are counted as the last.
 #[test]
-fn requests_are_counted_by_rank_and_end_and_absurd_ranks_as_the_last() {
+fn requests_are_counted_by_rank_and_outcome_and_absurd_ranks_as_the_last() {
     let metrics = SheddingMetrics::default();
     let late = NotAdmitted { fullness: 1.0, is_late: true };
     let of = |organisation| Priority { organisation, route: 0 };
@@ -375,8 +375,8 @@
     assert_eq!(count(15, "refused_late"), 200);
 }
 
-/// Requests that have just started hold little memory: they count by what they use, and by their
-/// slots.
+/// Fullness is the larger of the used shares of memory and slots, as requests that have just started
+/// use little memory.
 #[test]
 fn engines_are_as_full_as_their_memory_or_their_slots() {
     let fullness = |running, kv_permille| {
--- a/crates/sillbank_gateway/tests/paths.rs
+++ b/crates/sillbank_gateway/tests/paths.rs
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const HOME: &str = "a";
+const LOCAL_HALL: &str = "a";
 /// Seeds for tests that cover the random part of an engine's cost.
 const SEEDS: std::ops::Range<u64> = 0..1_000;
 
@@ -32,7 +32,7 @@
         born_ms: None,
         service: "gen".to_owned(),
         address: "10.0.0.9:80".parse().expect("an address"),
-        hall: HOME.to_owned(),
+        hall: LOCAL_HALL.to_owned(),
         standing: Standing::Ready,
         slots: SLOTS,
         accelerator: Some(kind.to_owned()),
@@ -96,7 +96,7 @@
     let now = Instant::now();
     let vm = Vm { endpoint_tracker: endpoint_tracker.clone(), ..Vm::new(rng) };
     vm.set_endpoints(records);
-    vm.hall.reports.insert(now, hall_report(HOME, engines));
+    vm.hall.reports.insert(now, hall_report(LOCAL_HALL, engines));
     path_for(&service(), vm.routing_context(now))
 }
 
@@ -149,7 +149,7 @@
 fn path_for(service: &Service, context: RoutingContext<'_>) -> Option<LayerPath> {
     let figures = service.engine.as_ref().expect("it has one");
     let demand = RequestSize::usual(figures);
-    let request = PathRequest { service, figures, local_hall: HOME, avoid: &[], demand };
+    let request = PathRequest { service, figures, local_hall: LOCAL_HALL, avoid: &[], demand };
     choose_path(context, request)
 }
 
@@ -289,17 +289,17 @@
     assert_eq!(path, None);
 }
 
-/// Missing or absurd figures do not lead to refusals.
+/// With missing or absurd engine figures a path is still found.
 #[test]
-fn figures_that_are_missing_or_absurd_refuse_nobody() {
+fn missing_or_absurd_figures_do_not_prevent_a_path() {
     // Arrange
     let records = [record("first", "slow", 0, 10), record("last", "slow", 10, 20)];
     let now = Instant::now();
     let vm = Vm::new(&rng());
     vm.set_endpoints(&records);
-    vm.hall.reports.insert(now, hall_report(HOME, records.iter().map(idle).collect()));
+    vm.hall.reports.insert(now, hall_report(LOCAL_HALL, records.iter().map(idle).collect()));
     let context = vm.routing_context(now);
-    let spoils: [fn(&mut EngineFigures); 6] = [
+    let corruptions: [fn(&mut EngineFigures); 6] = [
         |figures| figures.kv_token_bytes = 0.0,
         |figures| figures.layer_mb = 1e12,
         |figures| figures.accelerators.clear(),
@@ -308,10 +308,10 @@
         |figures| figures.prefill_tokens_per_s = 0.0,
     ];
 
-    for (number, spoil) in spoils.iter().enumerate() {
+    for (number, corrupt) in corruptions.iter().enumerate() {
         // Act
         let mut service = service();
-        spoil(service.engine.as_mut().expect("it has one"));
+        corrupt(service.engine.as_mut().expect("it has one"));
         let path = path_for(&service, context);
 
         // Assert
@@ -319,8 +319,8 @@
     }
 }
 
-/// The path chosen when a local engine and one of another hall, both holding all layers, use so
-/// much of their KV cache.
+/// The path chosen when a local engine and one of another hall, both holding all layers, use these
+/// shares of their KV cache.
 fn path_with_other_hall(local_permille: u16, remote_permille: u16) -> Option<LayerPath> {
     let now = Instant::now();
     let vm = Vm::new(&rng());
@@ -399,13 +399,13 @@
     ];
     let vm = Vm::new(&rng());
     vm.set_endpoints(&records);
-    vm.hall.reports.insert(now, hall_report(HOME, records.iter().map(idle).collect()));
-    let rest = Pushback {
+    vm.hall.reports.insert(now, hall_report(LOCAL_HALL, records.iter().map(idle).collect()));
+    let pause_request = Pushback {
         retry_after: RetryAfterSignal::For(Duration::from_secs(3)),
         ..Pushback::default()
     };
     for engine in ["near", "last"] {
-        vm.pushback.borrow_mut().on_answer(engine, None, rest, 0.5, now);
+        vm.pushback.borrow_mut().on_answer(engine, None, pause_request, 0.5, now);
     }
 
     let path = path_for(&service(), vm.routing_context(now)).expect("there is one");
--- a/crates/sillbank_gateway/tests/restored_store.rs
+++ b/crates/sillbank_gateway/tests/restored_store.rs
@@ -61,8 +61,8 @@
     leader.difference(Instant::now(), 0, 10)
 }
 
-/// Changes of a restored store have lower numbers than the known entries, and were ignored as
-/// outdated.
+/// Guards against ignoring the changes of a restored store as outdated because their numbers are lower
+/// than those of the known entries.
 #[test]
 fn an_endpoint_that_leaves_at_a_lower_number_of_a_new_era_gets_no_work() {
     let now = Instant::now();
@@ -77,7 +77,7 @@
     assert_eq!(view.endpoints_at(), Revision::new(2, 146));
 }
 
-/// The same by a leader that noticed the restore before this VM.
+/// The same change, reported by a leader that noticed the restore before this VM.
 #[test]
 fn a_leader_of_a_new_era_is_followed() {
     let now = Instant::now();
--- a/crates/sillbank_gateway/tests/sources.rs
+++ b/crates/sillbank_gateway/tests/sources.rs
@@ -14,6 +14,7 @@
     awaits_leader: false,
 };
 
+/// Whether the VM calls the store itself.
 fn asks(kind: WatchKind, state: SourceState) -> bool {
     !relies_on_leader(kind, state)
 }
@@ -33,7 +34,7 @@
     assert!(!asks(WatchKind::Endpoints, state));
 }
 
-/// Without a leader a VM follows both itself.
+/// Without a leader a VM gets both the configuration and the endpoints from the store itself.
 #[test]
 fn a_vm_without_a_leader_asks_for_both() {
     let state = SourceState {
@@ -60,7 +61,8 @@
     assert!(asks(WatchKind::Catalog, state));
 }
 
-/// A source follows both, even while its leader is fresh.
+/// A source, from which its leader gets updates, follows both in the store even while the leader is
+/// fresh.
 #[test]
 fn a_source_follows_both() {
     let state = SourceState { is_source: true, leader_holds_lease: false, ..NORMAL };
@@ -93,7 +95,8 @@
     assert!(!asks(WatchKind::Endpoints, state));
 }
 
-/// Each step is a check of both tasks. A task that asks learns whether the store answers this VM.
+/// In each step both tasks check where to get updates. A task that calls the store learns whether it
+/// answers this VM.
 #[test]
 fn endpoints_are_followed_two_checks_after_the_leader_fails_if_the_store_answers() {
     for_fixed_seeds(500, 128, |u| {
--- a/crates/sillbank_gateway/tests/store.rs
+++ b/crates/sillbank_gateway/tests/store.rs
@@ -6,9 +6,9 @@
 /// Status 429 is a rate limit, not an outage.
 #[test]
 fn a_rate_limited_call_is_no_outage() {
-    let trouble = StoreError::Refused(429).trouble();
+    let failure = StoreError::Refused(429).trouble();
 
-    assert_eq!(trouble, StoreFailure::RateLimited);
+    assert_eq!(failure, StoreFailure::RateLimited);
 }
 
 /// Status 503 and missing answers may mean that endpoints cannot reach the store either.
@@ -20,7 +20,7 @@
         StoreError::Lost("silent".to_owned()),
     ];
 
-    let troubles = errors.map(|error| error.trouble());
+    let failures = errors.map(|error| error.trouble());
 
-    assert_eq!(troubles, [StoreFailure::Unreachable; 3]);
+    assert_eq!(failures, [StoreFailure::Unreachable; 3]);
 }
--- a/crates/sillbank_gateway/tests/support/fleet.rs
+++ b/crates/sillbank_gateway/tests/support/fleet.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const STEP: Duration = Duration::from_millis(10);
-/// Time of an answer of the store, in addition to the wait of a watch.
+/// Time that the store takes to answer, in addition to the wait of a watch.
 const STORE_ANSWER_TIME: Duration = Duration::from_millis(10);
 /// Timeout of a call to the store, in addition to the wait of a watch.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
@@ -46,8 +46,8 @@
 }
 
 /// State of the task that follows the configuration.
-enum Following {
-    Resting(Instant),
+enum WatchState {
+    Idle(Instant),
     Calling { sent: Instant, wait: Duration, ends: Instant },
     Pausing(Pause),
 }
@@ -58,7 +58,7 @@
     response: StoreResponse,
     confirmed: Instant,
     store_is_reached: bool,
-    following: Following,
+    watch_state: WatchState,
     relied_on_leader: bool,
     has_failed: bool,
     backoff: Backoff,
@@ -72,7 +72,7 @@
 /// The fleet.
 pub(crate) struct Fleet {
     vms: Vec<Vm>,
-    vms_a_hall: usize,
+    vms_per_hall: usize,
     freshness: Freshness,
     rng: SharedRng,
     started_at: Instant,
@@ -89,7 +89,7 @@
         SocketAddr::V4(v4) => {
             usize::from(v4.ip().octets()[2]) * 256 + usize::from(v4.ip().octets()[3])
         }
-        SocketAddr::V6(_) => unreachable!("addresses are of version 4"),
+        SocketAddr::V6(_) => unreachable!("all addresses are IPv4"),
     }
 }
 
@@ -113,7 +113,7 @@
                 response: StoreResponse::Answer,
                 confirmed: started_at,
                 store_is_reached: true,
-                following: Following::Resting(started_at),
+                watch_state: WatchState::Idle(started_at),
                 relied_on_leader: false,
                 has_failed: false,
                 backoff: Backoff::default(),
@@ -127,7 +127,7 @@
         let calls_when_settled = vec![0; vms_of_all.len()];
         Self {
             vms: vms_of_all,
-            vms_a_hall: vms,
+            vms_per_hall: vms,
             freshness,
             rng,
             started_at,
@@ -174,7 +174,7 @@
 
     /// Calls of the leader of a hall.
     pub(crate) fn calls_of_leader(&self, hall: usize) -> u64 {
-        self.vms[hall * self.vms_a_hall].calls
+        self.vms[hall * self.vms_per_hall].calls
     }
 
     /// Calls of VMs that do not lead.
@@ -188,14 +188,14 @@
         self.vms.iter().zip(before).filter(|(vm, before)| vm.calls > **before).count()
     }
 
-    /// Age of the oldest confirmation that a VM uses.
+    /// Age of the oldest confirmation that any VM relies on.
     pub(crate) fn oldest(&self) -> Duration {
         self.vms.iter().map(|vm| self.now - vm.confirmed).max().unwrap_or_default()
     }
 
-    /// The same, if any VM reaches the store; else zero. Leaders follow each other, so that all VMs
-    /// are then connected to it.
-    pub(crate) fn oldest_in_touch(&self) -> Duration {
+    /// The same if any VM reaches the store, else zero. Leaders follow each other, so one such VM
+    /// connects all others to the store.
+    pub(crate) fn oldest_if_store_is_reachable(&self) -> Duration {
         let reaches = |vm: &&Vm| vm.response == StoreResponse::Answer;
         match self.vms.iter().any(|vm| reaches(&vm)) {
             true => self.oldest(),
@@ -204,12 +204,12 @@
     }
 
     fn source_state(&self, vm: &Vm) -> SourceState {
-        let own = HALLS[vm.position.hall];
+        let own_hall = HALLS[vm.position.hall];
         SourceState {
             leader_is_live: vm.hall.leader_is_live(self.now),
             leader_holds_lease: vm.hall.leader_holds_lease(self.now),
             leader_is_fresh: vm.hall.leader_is_fresh(self.now, self.freshness)
-                || vm.hall.upstream_is_fresh(own, self.now, self.freshness),
+                || vm.hall.upstream_is_fresh(own_hall, self.now, self.freshness),
             is_source: vm.hall.is_source(self.now),
             has_catalog: true,
             store_is_reached: vm.store_is_reached,
@@ -223,13 +223,13 @@
         let state = self.source_state(&self.vms[at]);
         let watch_wait = self.freshness.watch_wait;
         let vm = &mut self.vms[at];
-        match &vm.following {
-            Following::Resting(until) if now < *until => {}
-            Following::Resting(_) if relies_on_leader(WatchKind::Catalog, state) => {
+        match &vm.watch_state {
+            WatchState::Idle(until) if now < *until => {}
+            WatchState::Idle(_) if relies_on_leader(WatchKind::Catalog, state) => {
                 vm.relied_on_leader = true;
-                vm.following = Following::Resting(now + SOURCE_CHECK_INTERVAL);
+                vm.watch_state = WatchState::Idle(now + SOURCE_CHECK_INTERVAL);
             }
-            Following::Resting(_) => {
+            WatchState::Idle(_) => {
                 let wait = if vm.relied_on_leader || vm.has_failed {
                     FIRST_WATCH_WAIT
                 } else {
@@ -242,38 +242,38 @@
                     StoreResponse::Refusal => STORE_ANSWER_TIME,
                     StoreResponse::Silence => wait + STORE_TIMEOUT,
                 };
-                vm.following = Following::Calling { sent: now, wait, ends: now + takes };
+                vm.watch_state = WatchState::Calling { sent: now, wait, ends: now + takes };
             }
-            Following::Calling { ends, .. } if now < *ends => {}
-            Following::Calling { sent, wait, .. } => {
+            WatchState::Calling { ends, .. } if now < *ends => {}
+            WatchState::Calling { sent, wait, .. } => {
                 let (sent, wait) = (*sent, *wait);
                 vm.store_is_reached = vm.response == StoreResponse::Answer;
                 vm.has_failed = !vm.store_is_reached;
                 if vm.store_is_reached {
                     vm.backoff = Backoff::default();
                     vm.confirmed = vm.confirmed.max(confirmed_by_watch(sent, wait, now));
-                    vm.following = Following::Resting(now);
+                    vm.watch_state = WatchState::Idle(now);
                 } else {
-                    vm.following =
-                        Following::Pausing(vm.backoff.next_pause(now, self.rng.next_f64()));
+                    vm.watch_state =
+                        WatchState::Pausing(vm.backoff.next_pause(now, self.rng.next_f64()));
                 }
             }
-            Following::Pausing(pause) => {
+            WatchState::Pausing(pause) => {
                 if pause.remaining(now, &vm.hall, self.freshness).is_zero() {
-                    vm.following = Following::Resting(now);
+                    vm.watch_state = WatchState::Idle(now);
                 }
             }
         }
     }
 
-    /// Whether a request to another VM is answered now: that VM was confirmed anew, or the request
-    /// was held long enough.
+    /// Whether a request to another VM is answered now: that VM has a later confirmation, or the
+    /// request was held for its full wait.
     fn is_answered(&self, asked: Instant, by: usize, known: Instant) -> bool {
         self.vms[by].confirmed > known || self.now >= asked + LONG_POLL_WAIT
     }
 
     fn ask_leader(&mut self, at: usize) {
-        let leader = self.vms[at].position.hall * self.vms_a_hall;
+        let leader = self.vms[at].position.hall * self.vms_per_hall;
         let (now, known) = (self.now, self.vms[at].confirmed);
         let asked = self.vms[at].asked;
         let (hall, confirmed_age) = (&self.vms[leader].hall, now - known);
@@ -319,13 +319,18 @@
             return;
         }
         self.vms[at].other_asked = now;
-        for other in (0..self.vms.len()).step_by(self.vms_a_hall).filter(|other| *other != at) {
+        for other in (0..self.vms.len()).step_by(self.vms_per_hall).filter(|other| *other != at) {
             let other_leader = &self.vms[other];
-            let own = HALLS[other_leader.position.hall];
+            let other_hall = HALLS[other_leader.position.hall];
             let follows_store = other_leader.store_is_reached
-                && !other_leader.hall.upstream_is_fresh(own, now, self.freshness);
+                && !other_leader.hall.upstream_is_fresh(other_hall, now, self.freshness);
             let confirmed = other_leader.confirmed;
-            self.vms[at].hall.on_other_leader_update(own, now, Some(confirmed), follows_store);
+            self.vms[at].hall.on_other_leader_update(
+                other_hall,
+                now,
+                Some(confirmed),
+                follows_store,
+            );
             self.vms[at].confirmed = self.vms[at].confirmed.max(confirmed);
         }
     }
