--- a/crates/sillbank_load/src/control_bench.rs
+++ b/crates/sillbank_load/src/control_bench.rs
@@ -99,7 +99,9 @@
             return Ok(max.unwrap_or(0));
         }
         if Instant::now() > deadline {
-            return Err(format!("settings did not come everywhere: {min:?} to {max:?}").into());
+            return Err(
+                format!("the processes hold {min:?} to {max:?} objects, not all the same").into()
+            );
         }
         Timer::after(Duration::from_millis(200)).await;
     }
@@ -138,6 +140,9 @@
         lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     };
     (0..count)
-        .map(|number| pid_of(&format!("control{number}")).ok_or("a process has no id".into()))
+        .map(|number| {
+            pid_of(&format!("control{number}"))
+                .ok_or("a control process is missing in pids.txt".into())
+        })
         .collect()
 }
--- a/crates/sillbank_load/src/experiment/recovery.rs
+++ b/crates/sillbank_load/src/experiment/recovery.rs
@@ -31,7 +31,8 @@
     let text = std::fs::read_to_string(path)?;
     let mut faults = Vec::new();
     for line in text.lines() {
-        let (ms, name) = line.split_once(' ').ok_or("a fault has no name")?;
+        let (ms, name) =
+            line.split_once(' ').ok_or("a line of the faults file is not MILLISECONDS NAME")?;
         faults.push((Duration::from_millis(ms.parse::<u64>()?.saturating_sub(started_ms)), name));
     }
     let mut figures_by_fault = Vec::new();
--- a/crates/sillbank_load/src/hop.rs
+++ b/crates/sillbank_load/src/hop.rs
@@ -196,5 +196,5 @@
     let reply = client.call(fleet.entry_admins[0], call, Duration::from_secs(5)).await?;
     let text = String::from_utf8_lossy(&reply.body).into_owned();
     let line = text.lines().find_map(|line| line.strip_prefix("sillbank_entry_steps_total "));
-    Ok(line.ok_or("the entry has no metric of steps")?.parse()?)
+    Ok(line.ok_or("the metrics of the entry lack its steps")?.parse()?)
 }
--- a/crates/sillbank_load/tests/bad_input.rs
+++ b/crates/sillbank_load/tests/bad_input.rs
@@ -41,8 +41,8 @@
     wait_for(fleet.addresses.entry_admins[0], "/readyz");
     // A successful request shows that the chain is connected.
     let deadline = Instant::now() + WAIT_TIMEOUT;
-    while !good_request(&fleet).starts_with("HTTP/1.1 200") {
-        assert!(Instant::now() < deadline, "no good request is answered");
+    while !valid_request(&fleet).starts_with("HTTP/1.1 200") {
+        assert!(Instant::now() < deadline, "no valid request is answered");
     }
     fleet
 }
@@ -90,7 +90,7 @@
     )
 }
 
-fn good_request(fleet: &Fleet) -> String {
+fn valid_request(fleet: &Fleet) -> String {
     exchange(fleet, post("/v1/chat/completions", &key(), "", &chat("summaries")).as_bytes())
 }
 
@@ -106,28 +106,28 @@
 fn bad_input_gets_a_typed_error_and_does_not_affect_other_requests() {
     let fleet = fleet();
     let path = "/v1/chat/completions";
-    let good = chat("summaries");
+    let valid = chat("summaries");
     let long = format!("{{\"model\":\"{}\"}}", "x".repeat(5000));
     let cases: Vec<(&str, String, u16, &str)> = vec![
         ("no JSON", post(path, &key(), "", "{"), 400, "SB0001"),
         ("no messages", post(path, &key(), "", "{\"model\":\"summaries\"}"), 400, "SB0001"),
         (
             "empty prompt",
-            post(path, &key(), "", &good.replace("one two three", " ")),
+            post(path, &key(), "", &valid.replace("one two three", " ")),
             400,
             "SB0001",
         ),
         ("long body", post(path, &key(), "", &long), 413, "SB0002"),
-        ("unknown key", post(path, "nobody", "", &good), 401, "SB0003"),
-        ("no key", post(path, "", "", &good).replace("authorization", "x-none"), 401, "SB0003"),
+        ("unknown key", post(path, "nobody", "", &valid), 401, "SB0003"),
+        ("no key", post(path, "", "", &valid).replace("authorization", "x-none"), 401, "SB0003"),
         ("unknown pipeline", post(path, &key(), "", &chat("none")), 404, "SB0004"),
         ("another's pipeline", post(path, &key(), "", &chat("drafts")), 404, "SB0004"),
         ("another's service", post("/v1/services/alerts/x", &key(), "", "{}"), 404, "SB0004"),
-        ("unknown path", post("/v1/none", &key(), "", &good), 404, "SB0005"),
-        ("bad deadline", post(path, &key(), "x-deadline-ms: soon\r\n", &good), 400, "SB0001"),
-        ("bad position", post(path, &key(), "last-event-id: -1\r\n", &good), 400, "SB0001"),
-        ("empty id", post(path, &key(), "x-request-id: \r\n", &good), 400, "SB0001"),
-        ("no time", post(path, &key(), "x-deadline-ms: 0\r\n", &good), 504, "SB0008"),
+        ("unknown path", post("/v1/none", &key(), "", &valid), 404, "SB0005"),
+        ("bad deadline", post(path, &key(), "x-deadline-ms: soon\r\n", &valid), 400, "SB0001"),
+        ("bad position", post(path, &key(), "last-event-id: -1\r\n", &valid), 400, "SB0001"),
+        ("empty id", post(path, &key(), "x-request-id: \r\n", &valid), 400, "SB0001"),
+        ("no time", post(path, &key(), "x-deadline-ms: 0\r\n", &valid), 504, "SB0008"),
     ];
     for (name, request, status, code) in cases {
         println!("case: {name}");
@@ -135,7 +135,7 @@
 
         assert_failure(&answer, status, code);
     }
-    assert!(good_request(&fleet).starts_with("HTTP/1.1 200"));
+    assert!(valid_request(&fleet).starts_with("HTTP/1.1 200"));
 }
 
 /// The failure of an unknown key does not tell whether a pipeline exists.
@@ -160,7 +160,7 @@
     let answer = exchange(&fleet, post("/v1/chat/completions", &key(), &headers, "{}").as_bytes());
 
     assert!(answer.starts_with("HTTP/1.1 431") || answer.is_empty(), "{answer}");
-    assert!(good_request(&fleet).starts_with("HTTP/1.1 200"));
+    assert!(valid_request(&fleet).starts_with("HTTP/1.1 200"));
 }
 
 /// A request whose head or body stops halfway is ended at its timeout and does not run.
@@ -174,7 +174,7 @@
 
     assert!(!half_head.contains("200 OK"), "{half_head}");
     assert_failure(&half_body, 408, "SB0016");
-    assert!(good_request(&fleet).starts_with("HTTP/1.1 200"));
+    assert!(valid_request(&fleet).starts_with("HTTP/1.1 200"));
 }
 
 /// A caller that stops reading is disconnected after its stall limit, and its request ends, which
@@ -200,8 +200,11 @@
     // The caller reads nothing at all.
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while metric(&fleet, "sillbank_entry_stalled_callers_total") == 0 {
-        assert!(Instant::now() < deadline, "the caller was never ended");
-        assert!(good_request(&fleet).starts_with("HTTP/1.1 200"), "others are untouched");
+        assert!(Instant::now() < deadline, "the caller was never disconnected");
+        assert!(
+            valid_request(&fleet).starts_with("HTTP/1.1 200"),
+            "other requests are not affected"
+        );
         std::thread::sleep(POLL_INTERVAL);
     }
 
--- a/crates/sillbank_load/tests/scenarios.rs
+++ b/crates/sillbank_load/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Scripted scenarios against real processes. Each test runs the script of its name, whose head
-//! says which guarantee it checks.
+//! Scripted scenarios against real processes. Each test runs the script of its name. The
+//! first comment of a script says which guarantee it checks.
 #![allow(clippy::unwrap_used)]
 
 mod support;
--- a/crates/sillbank_load/tests/support/engines.rs
+++ b/crates/sillbank_load/tests/support/engines.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the control process that gives the orders of its hall; the first answer is kept.
+    /// Returns the control process that gives the orders of its hall when this is first called.
     pub(super) fn holder(&mut self) -> CommandResult<String> {
         if let Some(name) = &self.holder {
             return Ok(name.clone());
@@ -68,7 +68,7 @@
                     }
                 }
                 if Instant::now() > deadline {
-                    return Err("nobody gives orders".into());
+                    return Err("no control process gives orders".into());
                 }
                 Timer::after(POLL_INTERVAL).await;
             }
@@ -94,7 +94,9 @@
         self.block_on(async {
             while self.metric(address, "sillbank_entry_silent_endpoints_total").await < times {
                 if Instant::now() > deadline {
-                    return Err(format!("{address} never found {times} silent").into());
+                    return Err(
+                        format!("{address} did not find endpoints silent {times} times").into()
+                    );
                 }
                 Timer::after(POLL_INTERVAL).await;
             }
--- a/crates/sillbank_load/tests/support/settings.rs
+++ b/crates/sillbank_load/tests/support/settings.rs
@@ -76,7 +76,8 @@
         Ok(format!("{name} = {} from {}\n", all[name]["value"], all[name]["from"]))
     }
 
-    /// Returns the output of `sillbank status` once no VM is behind or not heard.
+    /// Returns the output of `sillbank status` once every VM has reported that the newest version is in
+    /// force.
     pub(super) fn fleet_status(&mut self) -> CommandResult<String> {
         let fleet = self.fleet();
         let control = fleet.addresses.control_admins[0].to_string();
