--- a/crates/sillbank_gateway/tests/sources.rs
+++ b/crates/sillbank_gateway/tests/sources.rs
@@ -36,7 +36,7 @@
 
 /// Without a leader a VM gets both the configuration and the endpoints from the store itself.
 #[test]
-fn a_vm_without_a_leader_asks_for_both() {
+fn a_vm_without_a_leader_gets_both_from_the_store() {
     let state = SourceState {
         leader_is_live: false,
         leader_holds_lease: false,
@@ -64,7 +64,7 @@
 /// A source, from which its leader gets updates, follows both in the store even while the leader is
 /// fresh.
 #[test]
-fn a_source_follows_both() {
+fn a_source_follows_configuration_and_endpoints() {
     let state = SourceState { is_source: true, leader_holds_lease: false, ..NORMAL };
 
     assert!(asks(WatchKind::Catalog, state));
--- a/crates/sillbank_gateway/tests/targets.rs
+++ b/crates/sillbank_gateway/tests/targets.rs
@@ -8,8 +8,10 @@
 
 const LAYERS: u16 = 80;
 const LAYER_MB: f64 = 1750.0;
+/// Kinds of accelerator cards, with their memory in MB.
 const CARDS: [(&str, f64); 3] = [("a100s", 36_000.0), ("l4", 21_600.0), ("t4", 14_400.0)];
 
+/// Number of requests that a hall should run at once.
 const LOAD: f64 = 60.0;
 
 fn figures() -> EngineFigures {
--- a/crates/sillbank_load/tests/support/engines.rs
+++ b/crates/sillbank_load/tests/support/engines.rs
@@ -142,7 +142,7 @@
         Ok(format!("{} runs\n", ledger.len()))
     }
 
-    /// Returns whether the fences of the orders that an engine accepted never decreased.
+    /// Returns whether the fencing tokens of the orders that an engine accepted never decreased.
     pub(super) fn fences(&mut self, command: &Command) -> CommandResult<String> {
         let name = command.consume_args().next_pos().ok_or("name an engine")?.to_owned();
         let address = self.fleet().addresses.engines[Self::engine_number(&name)?];
--- a/crates/sillbank_load/tests/support/runner.rs
+++ b/crates/sillbank_load/tests/support/runner.rs
@@ -15,7 +15,8 @@
 //!   direction.
 //! - `holds NAME first=0 end=8` waits until an engine has loaded these layers.
 //! - `runs NAME` prints the number of entries in an engine's ledger.
-//! - `fences NAME` prints whether the fences of the orders that an engine accepted never decreased.
+//! - `fences NAME` prints whether the fencing tokens of the orders that an engine accepted never
+//!   decreased.
 //! - `fault NAME JSON` injects a fault into a stand-in.
 //! - `put KEY JSON` writes an object and waits until it is in force in every entry.
 //! - `write KEY JSON` writes an object through one VM and prints the outcome; `race KEY JSON JSON`
@@ -208,30 +209,31 @@
         let mut args = command.consume_args();
         let id = args.next_pos().ok_or("name the request")?.to_owned();
         let text = |value: Option<&str>, default: &str| value.unwrap_or(default).to_owned();
-        let top = match args.take_key("top") {
+        let workload = match args.take_key("top") {
             Some("match") => MATCH,
             _ => MARKET,
         };
-        let organisation = organisation_name(top.name, text(args.take_key("org"), "0").parse()?);
+        let organisation =
+            organisation_name(workload.name, text(args.take_key("org"), "0").parse()?);
         let request_id = text(args.take_key("id"), &id);
         let options = SendOptions {
             entry: args.take_key("entry").map(str::parse).transpose()?,
             deadline: Duration::from_millis(text(args.take_key("deadline_ms"), "30000").parse()?),
             tries: text(args.take_key("tries"), "8").parse()?,
         };
-        let service = text(args.take_key("service"), top.keyed_service);
+        let service = text(args.take_key("service"), workload.keyed_service);
         let max_tokens = text(args.take_key("tokens"), "60").parse()?;
         args.reject_next()?;
         let prompt: Vec<String> = (0..40).map(|n| format!("{request_id}-{n}")).collect();
         let kind = match generate {
             true => RequestKind::Generate {
-                pipeline: top.pipeline.to_owned(),
+                pipeline: workload.pipeline.to_owned(),
                 prompt: prompt.join(" "),
                 max_tokens,
                 priority: 4,
             },
             false => RequestKind::Call {
-                is_idempotent: service == top.idempotent_service,
+                is_idempotent: service == workload.idempotent_service,
                 service,
                 path: "do".to_owned(),
             },
--- a/crates/sillbank_net/src/memory_budget.rs
+++ b/crates/sillbank_net/src/memory_budget.rs
@@ -210,6 +210,7 @@
         }
         connection.queued_bytes.set(connection.queued_bytes.get() + bytes);
         state.add(bytes);
+        // These bytes are in memory already, so at the limit a connection is cut however short its stall.
         state.cut_stalled(0, Duration::ZERO);
     }
 
