--- a/crates/sillbank_entry/src/control_link.rs
+++ b/crates/sillbank_entry/src/control_link.rs
@@ -90,9 +90,9 @@
 }
 
 fn apply_object(entry: &Rc<Entry>, object: &Object) {
-    let taken =
+    let outcome =
         entry.tree.borrow_mut().apply(&object.key, object.version, object.deleted, &object.value);
-    match taken {
+    match outcome {
         ApplyOutcome::InForce => sync_endpoint(entry, &object.key),
         ApplyOutcome::Stale => {}
         ApplyOutcome::Invalid(problems) => {
--- a/crates/sillbank_entry/src/execution.rs
+++ b/crates/sillbank_entry/src/execution.rs
@@ -274,7 +274,7 @@
             if let Poll::Ready(mail) = self.mailbox.poll_next(context) {
                 return Poll::Ready(WakeReason::Mail(mail));
             }
-            if self.sink.poll_disconnected(context).is_ready() {
+            if self.sink.poll_reader_closed(context).is_ready() {
                 return Poll::Ready(WakeReason::CallerDisconnected);
             }
             if Pin::new(&mut *deadline).poll(context).is_ready() {
--- a/crates/sillbank_entry/src/in_flight.rs
+++ b/crates/sillbank_entry/src/in_flight.rs
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Most generations listed in a status, oldest first: about 20 KB of text, and enough to see what
-/// the oldest ones wait for.
+/// Maximum number of generations in a status, the oldest ones. They take about 20 KB of text, and are enough to see
+/// what the oldest ones wait for.
 const MAX_LISTED_GENERATIONS: usize = 100;
 
 /// The last step that a generation sent.
--- a/crates/sillbank_entry/src/sink.rs
+++ b/crates/sillbank_entry/src/sink.rs
@@ -153,7 +153,7 @@
     }
 
     /// Ready once the caller has disconnected.
-    pub(crate) fn poll_disconnected(&self, context: &mut Context<'_>) -> Poll<()> {
+    pub(crate) fn poll_reader_closed(&self, context: &mut Context<'_>) -> Poll<()> {
         self.outbox.poll_reader_closed(context)
     }
 
