--- a/crates/sillbank_control/src/orders.rs
+++ b/crates/sillbank_control/src/orders.rs
@@ -18,7 +18,8 @@
 
 /// Time between two rounds of reconciliation.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(500);
-/// Engines queried in turn in each round, and at most as many that are changing. Limits the traffic of the holder.
+/// Number of engines queried in turn in each round; at most as many changing engines are queried besides. Limits the
+/// traffic of the lease holder.
 const ENGINES_PER_ROUND: usize = 3;
 /// Timeout of the query for an engine's state.
 const STATE_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/sillbank_control/src/platform_client.rs
+++ b/crates/sillbank_control/src/platform_client.rs
@@ -48,7 +48,7 @@
 pub(crate) struct PlatformClient {
     http: HttpClient,
     address: SocketAddr,
-    /// Bytes exchanged with the platform; header sizes are estimated.
+    /// Bytes of listings and watches, with an estimate for the headers; reads and writes of single objects are not counted.
     pub(crate) bytes: Counter,
 }
 
