--- a/crates/sillbank_standin/src/link.rs
+++ b/crates/sillbank_standin/src/link.rs
@@ -50,7 +50,7 @@
 #[derive(Default)]
 struct Link {
     faults: RefCell<Faults>,
-    /// Number of resets requested; a connection ends when it has grown.
+    /// Number of resets requested. A connection ends when this has risen since the connection was opened.
     resets: Cell<u64>,
 }
 
