--- a/crates/sillbank_gateway/src/follow.rs
+++ b/crates/sillbank_gateway/src/follow.rs
@@ -18,20 +18,20 @@
 /// Pause after changes of endpoints before the next watch, so that simultaneous changes cost one
 /// call. An endpoint that leaves must get no work after two seconds.
 const BATCH_PAUSE: Duration = Duration::from_millis(300);
-/// Wait of the first watch after failed calls, or of a VM that relied on its leader so far: whether
-/// something changed is needed at once. With a full wait VMs served again only 1.8 s after the end
-/// of an outage.
+/// Wait of the first watch after failed calls, or of a VM that relied on its leader so far: it has
+/// to learn at once whether something changed. With a full wait VMs served again only 1.8 s after
+/// the end of an outage.
 const FIRST_WATCH_WAIT: Duration = Duration::from_millis(10);
 
 /// Waits before the next call, and rechecks at intervals whether the leader is still live.
 async fn pause<W: Wire, S: MetadataStore>(backoff: &mut Backoff, gateway: &Gateway<W, S>) {
     let pause = backoff.next_pause(Instant::now(), gateway.rng.next_f64());
     loop {
-        let left = pause.remaining(Instant::now(), &gateway.hall, gateway.freshness());
-        if left.is_zero() {
+        let remaining = pause.remaining(Instant::now(), &gateway.hall, gateway.freshness());
+        if remaining.is_zero() {
             return;
         }
-        smol::Timer::after(left.min(SOURCE_CHECK_INTERVAL)).await;
+        smol::Timer::after(remaining.min(SOURCE_CHECK_INTERVAL)).await;
     }
 }
 
@@ -125,11 +125,11 @@
         return true;
     };
     let version = parts.as_ref().ok().map(|parts| parts.version);
-    let made = parts.and_then(|parts| {
+    let parsed = parts.and_then(|parts| {
         let catalog = Catalog::new(parts.clone()).map_err(|error| error.to_string())?;
         Ok((catalog, parts))
     });
-    match made {
+    match parsed {
         Ok((catalog, parts)) => {
             gateway.offer_catalog(catalog, parts, read.at);
             true
