--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
-# Benches; each closes with one JSON line.
+# Benchmarks; each prints JSON lines with its figures.
 #
-#   tools/bench.sh hop        what sillbank adds to a client that drives the engines directly
-#   tools/bench.sh settings   from a change accepted to the change in force at the last VM
-#   tools/bench.sh control    processor share, memory and bytes a second of a control process
-#   tools/bench.sh atmostonce keyed calls under kills, freezes, a planned stop and an outage
-#   tools/bench.sh bound      goodput over the bound, for every policy and load
-#   tools/bench.sh recovery   failures at 70% load, beside whole-request restart
-#   tools/bench.sh fair       one organisation at ten times its share
-#   tools/bench.sh brownout   hardware lost and slowed under load
+#   tools/bench.sh hop        time that sillbank adds to a client that calls the engines directly
+#   tools/bench.sh settings   time from the acceptance of a change until it is in force in all VMs
+#   tools/bench.sh control    processor share, memory and bytes a second of idle control processes
+#   tools/bench.sh atmostonce calls with idempotency keys under kills, freezes, a planned stop and an outage
+#   tools/bench.sh bound      goodput relative to the throughput bound, for every policy and load
+#   tools/bench.sh recovery   recovery from failures at 70% load, compared with restarting whole requests
+#   tools/bench.sh fair       fairness with one organisation at ten times its share
+#   tools/bench.sh brownout   goodput with lost and slowed engines
 #
-# NODES="9 100" names the numbers of VMs for 'settings' and 'control'; ORGANISATIONS="10 7500" the
-# organisations of each user for 'control'. They print a line for each.
+# NODES="9 100" sets the numbers of VMs for 'settings' and 'control', ORGANISATIONS="10 7500" the
+# numbers of organisations of each user for 'control'. They print one line for each number.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source tools/fleet.sh
@@ -22,7 +22,7 @@
   "$PROGRAMS/sillbank-load" hop --fleet "$OUT" --entry-pid "${FLEET_PID_OF[entry0]}" "$@"
 }
 
-# A fleet of control processes only, in eight halls.
+# bench_control_fleet VMS ORGANISATIONS: starts a fleet of control processes only, in eight halls.
 bench_control_fleet() {
   OUT="$(mktemp -d)"
   FLEET_FLAGS="--no-entries --platform-writes-per-s 5000 --organisations $2" \
@@ -50,7 +50,8 @@
   done
 }
 
-# Kills, freezes, cuts and a planned stop, one after another, while the load runs.
+# Injects a kill, freezes, a planned stop, an outage and lost answers of the platform, one after
+# another, while the load runs.
 bench_atmostonce_faults() {
   local platform
   platform="http://$(fleet_address .platform)/admin/faults"
@@ -85,7 +86,8 @@
   "$PROGRAMS/sillbank-load" atmostonce --fleet "$OUT" --calls 6000 "$@"
 }
 
-# What makes faults in the background ends first, so that it neither starts nor kills anything later.
+# Ends the background fault injection before the fleet, so that it cannot start or kill processes
+# afterwards.
 bench_end() {
   [ -z "$FAULTS_PID" ] || kill "$FAULTS_PID" 2>/dev/null || true
   fleet_end
@@ -107,7 +109,7 @@
   done
 }
 
-# bench_mark NAME: notes a fault with its time.
+# bench_mark NAME: records a fault with its time in milliseconds since the Unix epoch.
 bench_mark() { echo "$(date +%s%3N) $1" >>"$OUT/faults.txt"; }
 
 bench_recovery_faults() {
@@ -135,7 +137,8 @@
   for n in 16 17; do fleet_fault "$n" '{"lose_replies": 50}'; done
 }
 
-# The second user's pipeline may lose no stage: its requests are restarted whole, as baseline.
+# Baseline: with max_losses=0 the requests of the second user's pipeline are restarted whole when a
+# stage is lost.
 bench_recovery() {
   FLEET_FLAGS='--tree \n[pipeline.drafts.settings]\nmax_losses=0\n' COST_FACTOR="${COST_FACTOR:-16}" \
     fleet_lay_out
--- a/tools/days.sh
+++ b/tools/days.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Plays each day in bench/days on a site of the users' bench and prints the broken ones.
+# Runs each day in bench/days on a site of the users' bench and prints for each whether its promises
+# were kept. Exits with 1 if a day failed to run or broke a promise.
 #   FLEETBENCH=PATH tools/days.sh SITE.toml [DAY...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/fleet.sh
+++ b/tools/fleet.sh
@@ -1,11 +1,12 @@
-# Functions that start and end a local fleet; sourced by the other tools. Every process that is
-# started is noted by its id, and only those are ended.
+# Functions that start and stop a local fleet; sourced by the other tools. The id of each started
+# process is recorded in pids.txt, and only these processes are stopped.
 
 OUT="${OUT:-$(mktemp -d)}"
 PROFILE="${PROFILE:-release}"
 PROGRAMS="${CARGO_TARGET_DIR:-target}/$PROFILE"
 declare -A FLEET_PID_OF=()
 
+# fleet_build: builds the programs and sets PROGRAMS to their folder.
 fleet_build() {
   local flags=(--quiet --bins)
   [ "$PROFILE" = release ] && flags+=(--release)
@@ -13,13 +14,14 @@
   PROGRAMS="$(cd "$PROGRAMS" && pwd)"
 }
 
+# fleet_lay_out: writes the settings, objects and commands of a fleet to OUT.
 fleet_lay_out() {
   "$PROGRAMS/sillbank-load" fleet --out "$OUT" --programs "$PROGRAMS" ${FLEET_FLAGS:-} \
     --halls "${HALLS:-3}" --vms "${VMS:-9}" --engines "${ENGINES:-40}" \
     --cost-factor "${COST_FACTOR:-1.0}" --chain-policy "${CHAIN_POLICY:-least_finish}"
 }
 
-# fleet_launch NAME: starts the process of that name, as commands.txt gives it.
+# fleet_launch NAME: starts the process of that name with its command in commands.txt.
 fleet_launch() {
   local name command
   while read -r name command; do
@@ -35,7 +37,7 @@
   return 1
 }
 
-# fleet_await_slots: waits until every slot of keys is held by some VM.
+# fleet_await_slots: waits up to 30 s until every slot of idempotency keys is held by a VM.
 fleet_await_slots() {
   local held admin wanted
   wanted="$(fleet_address .slots)"
@@ -51,8 +53,10 @@
   return 1
 }
 
+# fleet_address FILTER: prints the result of a jq filter on addresses.json.
 fleet_address() { jq -r "$1" "$OUT/addresses.json"; }
 
+# fleet_start: starts all processes, applies the objects and waits until the fleet is ready.
 fleet_start() {
   local name command
   while read -r name command; do
@@ -74,13 +78,13 @@
   [ -z "$engines" ] || "$load" wait --path /v1/load --addresses "$engines"
 }
 
-# fleet_fault NUMBER JSON: makes a fault at an engine stand-in.
+# fleet_fault NUMBER JSON: injects a fault into an engine stand-in.
 fleet_fault() {
   curl -fsS -X POST -d "$2" "http://$(fleet_address ".engines[$1]")/admin/faults" >/dev/null
 }
 
-# fleet_pids: ids of the processes of this fleet that still run, those that a part of a script in the
-# background started too. An id that now belongs to something else is left alone.
+# fleet_pids: prints the ids of this fleet's running processes, including those that a background
+# part of a script started. Ids that now belong to another program are skipped.
 fleet_pids() {
   local name pid
   [ -e "$OUT/pids.txt" ] || return 0
@@ -91,6 +95,7 @@
   done <"$OUT/pids.txt"
 }
 
+# fleet_end: kills the processes of the fleet and waits until they have exited.
 fleet_end() {
   local pid
   for pid in $(fleet_pids); do
--- a/tools/local.sh
+++ b/tools/local.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Starts a local fleet on loopback, runs a mixed load, checks the ledgers, ends all it started.
-# Prints a short summary and closes with one JSON line. Exit code 0: every check passed.
+# Starts a local fleet on loopback, runs a mixed load, checks the ledgers and stops the fleet.
+# Prints a short summary and then one JSON line. Exit code 0: every check passed.
 #
 #   tools/local.sh [options of 'sillbank-load run']
-#   tools/local.sh --hold
+#   tools/local.sh --hold    keeps the fleet running until Enter is pressed
 #
-# Environment: HALLS, VMS, ENGINES, COST_FACTOR, CHAIN_POLICY shape the fleet; OUT is the folder
-# for settings, logs and the report; BROKEN_LAYER=skip or repeat makes one engine misbehave.
+# Environment: HALLS, VMS, ENGINES, COST_FACTOR and CHAIN_POLICY configure the fleet; OUT is the
+# folder for settings, logs and the report; BROKEN_LAYER=skip or repeat makes engine 0 skip or repeat
+# a layer.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source tools/fleet.sh
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Where the worth of days was lost, as a table in Markdown.
+"""Prints where days of the users' bench lost worth, as Markdown tables.
 
     tools/losses.py REPORT.json... [--logs LOG...]
 
-A report is what the users' bench writes with `--report`; a log is what it prints with `--log`. With
-logs of a day, refusals and broken streams are counted by the gateways' own reasons.
+A report is the file that the users' bench writes with `--report`; a log is its output with `--log`.
+If logs are given, refused, failed and broken-off requests are counted by the gateways' reasons.
 """
 
 import argparse
@@ -13,40 +13,40 @@
 from collections import Counter, defaultdict
 from pathlib import Path
 
-# A window with a smaller share of its worth is shown, with what was happening in it.
+# Windows with a smaller share of their worth are printed, with the events active in them.
 POOR_WINDOW = 0.6
 # Length of a window of a report, in seconds.
 WINDOW_S = 2.0
-# Reasons and prices that are shown.
-MOST_SHOWN = 6
+# Maximum number of reasons and of prices that are printed.
+MAX_ROWS = 6
 
-ENDED = re.compile(r'^\s*(-?[\d.]+) (\S+) .*caller: Ended\..*outcome="(\w+)".*reason="([^"]*)"')
+REQUEST_ENDED = re.compile(r'^\s*(-?[\d.]+) (\S+) .*caller: Ended\..*outcome="(\w+)".*reason="([^"]*)"')
 
 
-def parts(report):
-    """Worth lost by part of the score, and by prices."""
+def lost_worth(report):
+    """Returns the worth lost by each part of the score and by prices."""
     lost = [(name, weight * (1 - share)) for name, weight, share in report["parts"]]
     lost.append(("prices", sum(cost for _, _, cost in report["prices"])))
     return lost
 
 
-def happening(report, at_s):
-    """What went on in a window."""
+def active_events(report, at_s):
+    """Returns the kinds of the events that were active in a window."""
     end_s = at_s + WINDOW_S
-    on = [e for e in report["events"] if e["at_s"] < end_s and e["to_s"] > at_s]
-    return ", ".join(event["kind"] for event in on)
+    active = [e for e in report["events"] if e["at_s"] < end_s and e["to_s"] > at_s]
+    return ", ".join(event["kind"] for event in active)
 
 
-def print_parts(reports):
-    names = [name for name, _ in parts(next(iter(reports.values())))]
+def print_lost_worth(reports):
+    names = [name for name, _ in lost_worth(next(iter(reports.values())))]
     print("| day | worth | " + " | ".join(f"lost by {name}" for name in names) + " |")
     print("|---" * (len(names) + 2) + "|")
     for day, report in reports.items():
-        lost = " | ".join(f"{cost:.3f}" for _, cost in parts(report))
+        lost = " | ".join(f"{cost:.3f}" for _, cost in lost_worth(report))
         print(f"| {day} | {report['G']:.3f} | {lost} |")
 
 
-def print_kinds(reports):
+def print_request_kinds(reports):
     print("\n| day | kind of request | owed | in time | late | refused | failed | worth |")
     print("|---|---|---|---|---|---|---|---|")
     for day, report in reports.items():
@@ -65,8 +65,8 @@
             if window["worth"] is None or window["worth"] >= POOR_WINDOW:
                 continue
             counts = " | ".join(str(window[name]) for name in ("late", "refused", "failed"))
-            on = happening(report, float(window["name"]))
-            print(f"| {day} | {window['name']} | {window['worth']:.2f} | {counts} | {on} |")
+            kinds = active_events(report, float(window["name"]))
+            print(f"| {day} | {window['name']} | {window['worth']:.2f} | {counts} | {kinds} |")
 
 
 def print_prices(reports):
@@ -75,42 +75,42 @@
         for name, _, cost in report["prices"]:
             total[name] += cost / len(reports)
     print("\n| price | mean of the days |\n|---|---|")
-    for name, cost in sorted(total.items(), key=lambda item: -item[1])[:MOST_SHOWN]:
+    for name, cost in sorted(total.items(), key=lambda item: -item[1])[:MAX_ROWS]:
         print(f"| {name} | {cost:.4f} |")
 
 
 def print_unserved(reports):
     last = Counter()
     for report in reports.values():
-        for how, count, _ in report["unserved_by"]:
-            last[how] += count
+        for last_try, count, _ in report["unserved_by"]:
+            last[last_try] += count
     print("\n| last try of requests that were not served | requests |\n|---|---|")
-    for how, count in last.most_common():
-        print(f"| {how} | {count} |")
+    for last_try, count in last.most_common():
+        print(f"| {last_try} | {count} |")
 
 
 def print_reasons(logs):
     reasons = Counter()
     for log in logs:
         for line in log.open(errors="replace"):
-            found = ENDED.match(line)
-            if found and found[3] in ("refused", "failed", "broken_off"):
-                reasons[(found[3], found[4])] += 1
+            match = REQUEST_ENDED.match(line)
+            if match and match[3] in ("refused", "failed", "broken_off"):
+                reasons[(match[3], match[4])] += 1
     print("\n| outcome | the gateway's reason | requests |\n|---|---|---|")
-    for (outcome, reason), count in reasons.most_common(MOST_SHOWN):
+    for (outcome, reason), count in reasons.most_common(MAX_ROWS):
         print(f"| {outcome} | {reason} | {count} |")
 
 
 def main():
-    arguments = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    arguments.add_argument("reports", nargs="+", type=Path)
-    arguments.add_argument("--logs", nargs="*", type=Path, default=[])
-    given = arguments.parse_args()
-    reports = {path.stem: json.loads(path.read_text()) for path in given.reports}
-    for table in (print_parts, print_kinds, print_windows, print_unserved, print_prices):
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("reports", nargs="+", type=Path)
+    parser.add_argument("--logs", nargs="*", type=Path, default=[])
+    arguments = parser.parse_args()
+    reports = {path.stem: json.loads(path.read_text()) for path in arguments.reports}
+    for table in (print_lost_worth, print_request_kinds, print_windows, print_unserved, print_prices):
         table(reports)
-    if given.logs:
-        print_reasons(given.logs)
+    if arguments.logs:
+        print_reasons(arguments.logs)
 
 
 if __name__ == "__main__":
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds the programs and runs every test. Tests that start processes use the programs built here.
+# Builds the programs and runs all tests. Tests that start processes use the programs built here.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo build --workspace --bins --locked
