--- a/crates/sillbank_load/src/lib.rs
+++ b/crates/sillbank_load/src/lib.rs
@@ -19,5 +19,5 @@
 pub mod settings_bench;
 pub mod wait;
 
-/// Whether every check passed.
+/// Result of a command: whether every check passed, or the error that stopped it.
 pub type Verdict = Result<bool, Box<dyn std::error::Error>>;
--- a/tools/days.sh
+++ b/tools/days.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs each day in bench/days on a site of the users' bench and prints for each whether its promises
-# were kept. Exits with 1 if a day failed to run or broke a promise.
+# Runs each day in bench/days on a site of the users' bench and prints for each whether it was kept,
+# or its first BROKEN or FAULT line. Exits with 1 if a day was broken or failed to run.
 #   FLEETBENCH=PATH tools/days.sh SITE.toml [DAY...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/fleet.sh
+++ b/tools/fleet.sh
@@ -37,7 +37,7 @@
   return 1
 }
 
-# fleet_await_slots: waits up to 30 s until every slot of idempotency keys is held by a VM.
+# fleet_await_slots: waits, with 300 polls 0.1 s apart, until every slot of idempotency keys is held by a VM.
 fleet_await_slots() {
   local held admin wanted
   wanted="$(fleet_address .slots)"
